--- a/client/client.go
+++ b/client/client.go
@@ -180,10 +180,10 @@
 const cancelPatience = time.Second
 
 func params(ctx context.Context, r RPC, repeat bool) []byte {
-	b := jsonrpc.AppendText([]byte(`{"function":`), r.Function)
+	b := jsonrpc.AppendString([]byte(`{"function":`), r.Function)
 	for _, f := range [][2]string{{"customer", r.Customer}, {"token", r.Token}} {
 		if f[1] != "" {
-			b = jsonrpc.AppendText(append(jsonrpc.AppendText(append(b, ','), f[0]), ':'), f[1])
+			b = jsonrpc.AppendString(append(jsonrpc.AppendString(append(b, ','), f[0]), ':'), f[1])
 		}
 	}
 	if deadline, has := ctx.Deadline(); has {
@@ -286,7 +286,7 @@
 
 // conn is one connection.
 type conn struct {
-	jsonrpc.Singly
+	jsonrpc.IgnoreBatches
 	nc net.Conn
 
 	writing sync.Mutex
@@ -377,23 +377,23 @@
 	}
 }
 
-// Asked implements jsonrpc.Peer: front ends ask nothing.
-func (k *conn) Asked(jsonrpc.ID, string, []byte) {}
+// HandleRequest implements jsonrpc.Peer: front ends ask nothing.
+func (k *conn) HandleRequest(jsonrpc.ID, string, []byte) {}
 
-// Broken implements jsonrpc.Peer.
-func (k *conn) Broken(jsonrpc.ID, int, string) { k.nc.Close() }
+// HandleInvalid implements jsonrpc.Peer.
+func (k *conn) HandleInvalid(jsonrpc.ID, int, string) { k.nc.Close() }
 
-// Answered implements jsonrpc.Peer.
-func (k *conn) Answered(id jsonrpc.ID, result []byte, code int, message string, data []byte) {
+// HandleResponse implements jsonrpc.Peer.
+func (k *conn) HandleResponse(id jsonrpc.ID, result []byte, code int, message string, data []byte) {
 	a := answer{}
 	switch code {
 	case 0:
 		a.value = append([]byte(nil), result...)
 	case -32001:
-		ms, _ := jsonrpc.Number(jsontext.Value(jsonrpc.Member(data, "come_back_ms")))
+		ms, _ := jsonrpc.ParseNumber(jsontext.Value(jsonrpc.Member(data, "come_back_ms")))
 		a.err = &Denied{message, time.Duration(ms * float64(time.Millisecond))}
 	case -32002:
-		cause, _ := jsonrpc.Text(jsonrpc.Member(data, "cause"))
+		cause, _ := jsonrpc.ParseString(jsonrpc.Member(data, "cause"))
 		a.err = &Aborted{cause}
 	default:
 		a.err = &Refused{code, message}
--- a/cmd/mallowlanding/config.go
+++ b/cmd/mallowlanding/config.go
@@ -143,7 +143,7 @@
 	if err != nil {
 		return err
 	}
-	lines := resources.Lines(from, to)
+	lines := resources.FormatDiff(from, to)
 	for _, line := range lines {
 		fmt.Fprintln(e.out, line)
 	}
@@ -289,7 +289,7 @@
 		if !g.Connected {
 			link = fmt.Sprintf("silent for %.0f s", g.SilentMs/1000)
 		}
-		fmt.Fprintf(e.out, "configuration: version %d from %s, on disk: %s; control service %s\n", g.Version, g.From, yes(g.Kept), link)
+		fmt.Fprintf(e.out, "configuration: version %d from %s, on disk: %s; control service %s\n", g.Version, g.Source, yes(g.Saved), link)
 		if g.Refused != 0 {
 			fmt.Fprintf(e.out, "turned down last: version %d: %s\n", g.Refused, g.Reason)
 		}
--- a/cmd/mallowlanding/main.go
+++ b/cmd/mallowlanding/main.go
@@ -135,7 +135,7 @@
 	signal.Notify(reload, syscall.SIGHUP)
 	signal.Notify(again, syscall.SIGTERM) // told twice to leave it still answers what it holds
 	err := platform.Serve(e.ctx, os.Getenv("BALANCER_CONFIG"), reload, e.log)
-	if errors.As(err, &platform.BadConfig{}) {
+	if errors.As(err, &platform.ConfigError{}) {
 		return misuse{err}
 	}
 	return err
@@ -201,10 +201,10 @@
 
 // Run sends one RPC.
 func (c *callCmd) Run(e *env) error {
-	p := jsonrpc.AppendText([]byte(`{"function":`), c.Function)
+	p := jsonrpc.AppendString([]byte(`{"function":`), c.Function)
 	for _, f := range [][2]string{{"customer", c.Customer}, {"token", c.Token}} {
 		if f[1] != "" {
-			p = jsonrpc.AppendText(append(jsonrpc.AppendText(append(p, ','), f[0]), ':'), f[1])
+			p = jsonrpc.AppendString(append(jsonrpc.AppendString(append(p, ','), f[0]), ':'), f[1])
 		}
 	}
 	if c.TimeMs >= 0 {
@@ -238,10 +238,10 @@
 }
 
 // ask sends one JSON-RPC request over a socket and waits for its answer.
-func ask(ctx context.Context, socket, method string, params []byte) (jsonrpc.Answer, error) {
+func ask(ctx context.Context, socket, method string, params []byte) (jsonrpc.Response, error) {
 	nc, err := (&net.Dialer{Timeout: 5 * time.Second}).DialContext(ctx, "unix", socket)
 	if err != nil {
-		return jsonrpc.Answer{}, err
+		return jsonrpc.Response{}, err
 	}
 	ctx, end := context.WithCancel(ctx)
 	defer end()
--- a/internal/access/access.go
+++ b/internal/access/access.go
@@ -13,18 +13,18 @@
 	Customers []string // likewise
 }
 
-// List is the rules in order; an empty list lets everybody in.
-type List []Rule
+// Rules is the rules in order; an empty list lets everybody in.
+type Rules []Rule
 
-// Right is what one peer may do: the first rule that matches it.
-type Right struct {
+// Permissions is what one peer may do: the first rule that matches it.
+type Permissions struct {
 	who  string
 	rule *Rule
 }
 
-// Admit finds a peer's right. Gid is the primary group of its process: a socket tells no others.
-func (l List) Admit(uid, gid int64) (Right, error) {
-	r := Right{who: fmt.Sprintf("uid %d, gid %d", uid, gid)}
+// Authorize finds a peer's right. Gid is the primary group of its process: a socket tells no others.
+func (l Rules) Authorize(uid, gid int64) (Permissions, error) {
+	r := Permissions{who: fmt.Sprintf("uid %d, gid %d", uid, gid)}
 	if len(l) == 0 {
 		return r, nil
 	}
@@ -37,8 +37,8 @@
 	return r, fmt.Errorf("not allowed: %s is on no list", r.who)
 }
 
-// May tells whether the peer may ask for this method for this customer; an empty customer is none.
-func (r Right) May(method, customer string) error {
+// Check tells whether the peer may ask for this method for this customer; an empty customer is none.
+func (r Permissions) Check(method, customer string) error {
 	switch {
 	case r.rule == nil:
 	case len(r.rule.Methods) > 0 && !slices.Contains(r.rule.Methods, method):
--- a/internal/adopt/adopt_test.go
+++ b/internal/adopt/adopt_test.go
@@ -20,14 +20,14 @@
 
 func (s *stage) Check(v Version)                { s.act("check %d", v) }
 func (s *stage) Apply(v Version)                { s.act("apply %d", v) }
-func (s *stage) Keep(v Version)                 { s.act("keep %d", v) }
+func (s *stage) Save(v Version)                 { s.act("keep %d", v) }
 func (s *stage) Accept(nonce string, kept bool) { s.act("accept %s kept=%t", nonce, kept) }
-func (s *stage) TurnDown(nonce string, v Version, why string) {
+func (s *stage) Refuse(nonce string, v Version, why string) {
 	s.act("turn-down %s %d", nonce, v)
 }
-func (s *stage) AskWhole(nonce string) { s.act("ask-whole %s", nonce) }
-func (s *stage) Log(text string)       { s.logs = append(s.logs, text) }
-func (s *stage) Tell(h Held, refused Version, kept, up bool) {
+func (s *stage) RequestFull(nonce string) { s.act("ask-whole %s", nonce) }
+func (s *stage) Log(text string)          { s.logs = append(s.logs, text) }
+func (s *stage) SendStatus(h VersionRef, refused Version, kept, up bool) {
 	s.act("tell %d refused=%d kept=%t", h.Version, refused, kept)
 }
 
@@ -49,7 +49,7 @@
 		name, steps, _ := strings.Cut(part, "\n")
 		t.Run(name, func(t *testing.T) {
 			s := &stage{}
-			f := New(s, Held{3, "c"}, true)
+			f := New(s, VersionRef{3, "c"}, true)
 			for line := range strings.Lines(steps) {
 				w := strings.Fields(line)
 				if len(w) == 0 {
@@ -84,25 +84,25 @@
 	}
 	switch w[0] {
 	case "connected":
-		f.Connected()
+		f.HandleConnect()
 	case "lost":
-		f.Lost()
+		f.HandleDisconnect()
 	case "offer":
-		o := Offer{Held: Held{number(2), w[3]}, Nonce: w[1], Sound: true}
+		o := Offer{VersionRef: VersionRef{number(2), w[3]}, Nonce: w[1], DigestOK: true}
 		for _, option := range w[4:] {
 			if base, is := strings.CutPrefix(option, "base="); is {
 				n, _ := strconv.ParseUint(base, 10, 64)
 				o.Base = Version(n)
 			}
-			o.Sound = o.Sound && option != "unsound"
+			o.DigestOK = o.DigestOK && option != "unsound"
 		}
-		f.Offered(o)
+		f.HandleOffer(o)
 	case "checked":
-		f.Checked(number(1), strings.Join(w[2:], " "))
+		f.HandleCheckResult(number(1), strings.Join(w[2:], " "))
 	case "applied":
-		f.Applied(number(1), strings.Join(w[2:], " "))
+		f.HandleApplyResult(number(1), strings.Join(w[2:], " "))
 	case "kept":
-		f.Kept(number(1), strings.Join(w[2:], " "))
+		f.HandleSaveResult(number(1), strings.Join(w[2:], " "))
 	default:
 		t.Fatalf("no step %q", w[0])
 	}
@@ -120,9 +120,9 @@
 	sent     string // the nonce not answered yet
 	offer    Offer
 	answers  map[string]int // by nonce
-	known    Held           // what the service believes in force
-	inForce  Held           // what acts
-	disk     Held
+	known    VersionRef     // what the service believes in force
+	inForce  VersionRef     // what acts
+	disk     VersionRef
 	pending  []func()
 	maxForce Version
 	tolds    int
@@ -132,9 +132,9 @@
 	bad := w.bad[v]
 	w.pending = append(w.pending, func() {
 		if bad {
-			w.f.Checked(v, "bad")
+			w.f.HandleCheckResult(v, "bad")
 		} else {
-			w.f.Checked(v, "")
+			w.f.HandleCheckResult(v, "")
 		}
 	})
 }
@@ -149,24 +149,24 @@
 	fails := rapid.IntRange(0, 9).Draw(w.t, "apply fails") == 0
 	w.pending = append(w.pending, func() {
 		if fails {
-			w.f.Applied(v, "no socket")
+			w.f.HandleApplyResult(v, "no socket")
 			return
 		}
-		w.inForce, w.maxForce = Held{v, w.texts[v]}, v
-		w.f.Applied(v, "")
+		w.inForce, w.maxForce = VersionRef{v, w.texts[v]}, v
+		w.f.HandleApplyResult(v, "")
 	})
 }
 
-func (w *world) Keep(v Version) {
+func (w *world) Save(v Version) {
 	fails := rapid.IntRange(0, 9).Draw(w.t, "keep fails") == 0
 	w.pending = append(w.pending, func() {
 		if fails {
-			w.f.Kept(v, "disk full")
+			w.f.HandleSaveResult(v, "disk full")
 			return
 		}
-		w.disk = Held{v, w.texts[v]}
+		w.disk = VersionRef{v, w.texts[v]}
 		w.inForce.Version = v // a version of the same text takes its number with the keeping
-		w.f.Kept(v, "")
+		w.f.HandleSaveResult(v, "")
 	})
 }
 
@@ -178,11 +178,11 @@
 	if nonce == w.sent {
 		w.sent = ""
 	}
-	w.known, _ = w.f.Held()
+	w.known, _ = w.f.Current()
 }
 
 func (w *world) Accept(nonce string, kept bool) {
-	held, isKept := w.f.Held()
+	held, isKept := w.f.Current()
 	if kept && w.disk != held || kept != isKept {
 		w.t.Fatalf("told that %v is kept, the disk has %v", held, w.disk)
 	}
@@ -192,19 +192,19 @@
 	w.answer(nonce)
 }
 
-func (w *world) TurnDown(nonce string, v Version, why string) {
+func (w *world) Refuse(nonce string, v Version, why string) {
 	if why == "" {
 		w.t.Fatal("turned down without a reason")
 	}
-	if held, _ := w.f.Held(); held.Version == v && held.Digest == w.texts[v] {
+	if held, _ := w.f.Current(); held.Version == v && held.Digest == w.texts[v] {
 		w.t.Fatalf("version %d is in force and was turned down", v)
 	}
 	w.answer(nonce)
 }
 
-func (w *world) AskWhole(nonce string) { w.answer(nonce) }
-func (w *world) Log(string)            {}
-func (w *world) Tell(h Held, _ Version, kept, up bool) {
+func (w *world) RequestFull(nonce string) { w.answer(nonce) }
+func (w *world) Log(string)               {}
+func (w *world) SendStatus(h VersionRef, _ Version, kept, up bool) {
 	w.known = h
 	w.tolds++
 }
@@ -214,29 +214,29 @@
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := &world{t: t, texts: map[Version]string{0: ""}, bad: map[Version]bool{}, answers: map[string]int{}}
-		w.f = New(w, Held{}, false)
+		w.f = New(w, VersionRef{}, false)
 		send := func() {
 			if !w.up || w.sent != "" || w.newest == 0 {
 				return
 			}
 			w.nonce++
 			w.sent = strconv.Itoa(w.nonce)
-			w.offer = Offer{Held: Held{w.newest, w.texts[w.newest]}, Nonce: w.sent, Sound: true}
+			w.offer = Offer{VersionRef: VersionRef{w.newest, w.texts[w.newest]}, Nonce: w.sent, DigestOK: true}
 			if w.known.Version > 0 && rapid.Bool().Draw(w.t, "changes") {
 				w.offer.Base = w.known.Version
 			}
-			w.f.Offered(w.offer)
+			w.f.HandleOffer(w.offer)
 		}
 		connect := func() {
 			if !w.up {
 				w.up, w.sent = true, ""
-				w.f.Connected()
+				w.f.HandleConnect()
 			}
 		}
 		lose := func() {
 			if w.up {
 				w.up, w.sent = false, ""
-				w.f.Lost()
+				w.f.HandleDisconnect()
 			}
 		}
 		finish := func() {
@@ -258,7 +258,7 @@
 			"repeat": func(*rapid.T) {
 				if w.up && w.offer.Nonce == strconv.Itoa(w.nonce) {
 					before := w.answers[w.offer.Nonce]
-					w.f.Offered(w.offer)
+					w.f.HandleOffer(w.offer)
 					if before > 0 && w.answers[w.offer.Nonce] != before+1 && len(w.pending) == 0 && w.sent == "" {
 						t.Fatalf("a response that came again has no answer again")
 					}
@@ -277,7 +277,7 @@
 				w.f = New(w, w.disk, w.disk.Version > 0)
 			},
 			"": func(t *rapid.T) {
-				held, _ := w.f.Held()
+				held, _ := w.f.Current()
 				if held.Digest != w.inForce.Digest {
 					t.Fatalf("held %v, in force %v", held, w.inForce)
 				}
@@ -292,8 +292,8 @@
 			send()
 			finish()
 		}
-		held, _ := w.f.Held()
-		refused, _ := w.f.Refused()
+		held, _ := w.f.Current()
+		refused, _ := w.f.LastRefused()
 		if w.newest > 0 && held.Version != w.newest && refused.Version != w.newest {
 			t.Fatalf("quiet, newest is %d, held %v, refused %v", w.newest, held, refused)
 		}
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -14,11 +14,11 @@
 	"mallowlanding/router"
 )
 
-// Truth tells how a function stands on a worker: free lanes, a load under way, RPCs there; ok: the worker answers.
-type Truth func(w router.WorkerID, fn router.FunctionID) (free int, loading bool, jobs int, ok bool)
+// ActualState tells how a function stands on a worker: free lanes, a load under way, RPCs there; ok: the worker answers.
+type ActualState func(w router.WorkerID, fn router.FunctionID) (free int, loading bool, jobs int, ok bool)
 
-// Names are the policies.
-var Names = []string{"random", "round-robin", "least-out", "power-of-two", "join-idle", "bounded-hash", "oracle"}
+// Policies are the policies.
+var Policies = []string{"random", "round-robin", "least-out", "power-of-two", "join-idle", "bounded-hash", "oracle"}
 
 // bound is how far above the mean a worker may be loaded with bounded hashing: the load factor of the scheme's authors'
 // own examples (Mirrokni, Thorup, Zadimoghaddam, 2016).
@@ -27,15 +27,15 @@
 // retry is the pause before an RPC that never ran goes out again.
 const retry = 20 * 10
 
-// Named makes the maker of a policy; an empty name gives nil, which stands for the module.
-func Named(name string, truth Truth) (core.Make, error) {
+// Factory makes the maker of a policy; an empty name gives nil, which stands for the module.
+func Factory(name string, truth ActualState) (core.Factory, error) {
 	if name == "" || name == "module" {
 		return nil, nil
 	}
-	if !slices.Contains(Names, name) {
-		return nil, fmt.Errorf("no policy %q: there are module, %v", name, Names)
+	if !slices.Contains(Policies, name) {
+		return nil, fmt.Errorf("no policy %q: there are module, %v", name, Policies)
 	}
-	return func(port router.Port, now router.Time, seed int64, s router.Settings) core.Module {
+	return func(port router.Actions, now router.Time, seed int64, s router.Settings) core.Router {
 		p := &policy{name: name, truth: truth, port: port, rng: rand.New(rand.NewSource(seed)), workers: map[router.WorkerID]*worker{},
 			held: map[uint64]*rpc{}}
 		p.heed(s)
@@ -60,8 +60,8 @@
 
 type policy struct {
 	name    string
-	truth   Truth
-	port    router.Port
+	truth   ActualState
+	port    router.Actions
 	rng     *rand.Rand
 	methods []method
 	most    int
@@ -93,23 +93,23 @@
 func (p *policy) heed(s router.Settings) {
 	number := func(name string) float64 { v, _ := s[name].(float64); return v }
 	word := func(name string) string { v, _ := s[name].(string); return v }
-	p.most, p.back = int(number(terms.Path(terms.May, terms.CallOuts))), router.Time(number(terms.Path(terms.May, terms.ComeBack)))
+	p.most, p.back = int(number(terms.Join(terms.May, terms.CallOuts))), router.Time(number(terms.Join(terms.May, terms.ComeBack)))
 	p.methods = nil
 	for i := range int(number(terms.Methods)) {
-		p.methods = append(p.methods, method{effect: word(terms.At(terms.Methods, i, terms.Effect)),
-			group: word(terms.At(terms.Methods, i, terms.Group)), window: router.Time(number(terms.At(terms.Methods, i, terms.Window)))})
+		p.methods = append(p.methods, method{effect: word(terms.Item(terms.Methods, i, terms.Effect)),
+			group: word(terms.Item(terms.Methods, i, terms.Group)), window: router.Time(number(terms.Item(terms.Methods, i, terms.Window)))})
 	}
 }
 
-// ListBegins implements core.Module.
-func (p *policy) ListBegins(_ router.Time, form router.ListForm, _ uint64) {
+// BeginWorkerList implements core.Module.
+func (p *policy) BeginWorkerList(_ router.Time, form router.ListUpdate, _ uint64) {
 	for _, w := range p.list {
-		w.listed = form == router.Changes || form == router.Failed
+		w.listed = form == router.ListChanges || form == router.ListFailed
 	}
 }
 
-// Listed implements core.Module.
-func (p *policy) Listed(_ router.Time, id router.WorkerID, state router.Readiness, _ router.Time, zone router.ZoneID,
+// AddListedWorker implements core.Module.
+func (p *policy) AddListedWorker(_ router.Time, id router.WorkerID, state router.Readiness, _ router.Time, zone router.ZoneID,
 	cell router.CellID, _ router.KindID, _ float64) {
 	w := p.workers[id]
 	if w == nil {
@@ -121,31 +121,31 @@
 	w.zone, w.cell, w.ready, w.listed = zone, cell, state == router.Ready, true
 }
 
-// ListEnds implements core.Module.
-func (p *policy) ListEnds(router.Time) {
+// EndWorkerList implements core.Module.
+func (p *policy) EndWorkerList(router.Time) {
 	for _, w := range p.list {
 		w.ready = w.ready && w.listed
 	}
 }
 
-// Held, Checked, Renew, Halted and Settle implement core.Module: a baseline asks for nothing that they answer.
-func (p *policy) Held(router.Time, router.WorkerID, router.FunctionID, router.Outcome, int, router.Time) {
+// LoadOrderEnded, Checked, Renew, Halted and Settle implement core.Module: a baseline asks for nothing that they answer.
+func (p *policy) LoadOrderEnded(router.Time, router.WorkerID, router.FunctionID, router.Outcome, int, router.Time) {
 }
 
-// Checked implements core.Module.
-func (p *policy) Checked(router.Time, router.WorkerID, router.Outcome, router.Time, []float64) {}
+// CheckEnded implements core.Module.
+func (p *policy) CheckEnded(router.Time, router.WorkerID, router.Outcome, router.Time, []float64) {}
 
-// Renew implements core.Module.
-func (p *policy) Renew(router.Time, router.Prepared) {}
+// UpdateSettings implements core.Module.
+func (p *policy) UpdateSettings(router.Time, router.ParsedSettings) {}
 
-// Halted implements core.Module.
-func (p *policy) Halted(router.FunctionID) bool { return false }
+// LoadsHalted implements core.Module.
+func (p *policy) LoadsHalted(router.FunctionID) bool { return false }
 
-// Settle implements core.Module.
-func (p *policy) Settle(router.Time) {}
+// Dispatch implements core.Module.
+func (p *policy) Dispatch(router.Time) {}
 
-// Take implements core.Module.
-func (p *policy) Take(now router.Time, id router.RPCID, m router.MethodID, _ router.CustomerID, fn router.FunctionID,
+// Submit implements core.Module.
+func (p *policy) Submit(now router.Time, id router.RPCID, m router.MethodID, _ router.CustomerID, fn router.FunctionID,
 	budget router.Time, _, _ float64, _ int, _ router.Time, _ bool) core.Handle {
 	p.now = now
 	r := &rpc{p: p, id: id, m: p.methods[m], fn: fn, end: now + budget}
@@ -153,8 +153,8 @@
 	return r
 }
 
-// Reminded implements core.Module.
-func (p *policy) Reminded(now router.Time, token uint64) {
+// TimerFired implements core.Module.
+func (p *policy) TimerFired(now router.Time, token uint64) {
 	p.now = now
 	if r := p.held[token]; r != nil {
 		delete(p.held, token)
@@ -203,7 +203,7 @@
 	r.waiting = true
 	p.token++
 	p.held[p.token] = r
-	p.port.Remind(min(retry, max(1, r.end-200-p.now)), p.token)
+	p.port.SetTimer(min(retry, max(1, r.end-200-p.now)), p.token)
 }
 
 func (r *rpc) giveUp() {
@@ -215,8 +215,8 @@
 	r.p.port.Deny(r.id, r.p.back, router.NoTime)
 }
 
-// Ended implements core.Handle.
-func (r *rpc) Ended(now router.Time, n int, _ router.WorkerID, o router.Outcome, closed bool, _ router.Warmth, _ int,
+// CallOutEnded implements core.Handle.
+func (r *rpc) CallOutEnded(now router.Time, n int, _ router.WorkerID, o router.Outcome, closed bool, _ router.Warmth, _ int,
 	_ router.Time, _ []float64) {
 	p := r.p
 	p.now = now
@@ -231,7 +231,7 @@
 		w.avoid = now + 10000
 	}
 	switch o {
-	case router.Full, router.ConnectFailed, router.Moot, router.Missed:
+	case router.Full, router.ConnectFailed, router.NotSent, router.NotLoaded:
 		if !r.may {
 			r.risk = nil
 		}
@@ -248,14 +248,14 @@
 	r.send()
 }
 
-// ListConfirmed implements core.Module: these policies go by the list whatever its age.
-func (p *policy) ListConfirmed(router.Time, router.Time) {}
+// ConfirmWorkerList implements core.Module: these policies go by the list whatever its age.
+func (p *policy) ConfirmWorkerList(router.Time, router.Time) {}
 
-// Left implements core.Handle.
-func (r *rpc) Left(router.Time) { r.over = true }
+// ClientLeft implements core.Handle.
+func (r *rpc) ClientLeft(router.Time) { r.over = true }
 
-// Over implements core.Handle.
-func (r *rpc) Over() bool { return r.over && r.out == 0 && !r.waiting }
+// Finished implements core.Handle.
+func (r *rpc) Finished() bool { return r.over && r.out == 0 && !r.waiting }
 
 // pick is the policy.
 func (p *policy) pick(r *rpc) *worker {
--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -12,8 +12,8 @@
 // for the way, the line at the worker and the work.
 const softPart = 8
 
-// Lines hold what waits, by key: one for each worker and function.
-type Lines[Key, Item comparable] struct {
+// Batcher hold what waits, by key: one for each worker and function.
+type Batcher[Key, Item comparable] struct {
 	lines map[Key]*line[Item]
 	order []Key // of lines, as they began
 }
@@ -25,13 +25,13 @@
 }
 
 // New starts with nothing waiting.
-func New[Key, Item comparable]() *Lines[Key, Item] {
-	return &Lines[Key, Item]{lines: map[Key]*line[Item]{}}
+func New[Key, Item comparable]() *Batcher[Key, Item] {
+	return &Batcher[Key, Item]{lines: map[Key]*line[Item]{}}
 }
 
 // Add takes an RPC that may ride with others: at most so many, waiting no longer than wait, and no longer than its
 // part of the time left to its soft deadline. It returns a batch that is full, or that may not wait.
-func (l *Lines[Key, Item]) Add(now router.Time, key Key, item Item, most int, wait, softLeft router.Time) []Item {
+func (l *Batcher[Key, Item]) Add(now router.Time, key Key, item Item, most int, wait, softLeft router.Time) []Item {
 	leave := now + max(0, min(wait, softLeft/softPart))
 	at := l.lines[key]
 	if at == nil {
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// Drop takes an RPC out that has not left: its client has gone. It reports whether it was there.
-func (l *Lines[Key, Item]) Drop(key Key, item Item) bool {
+// Remove takes an RPC out that has not left: its client has gone. It reports whether it was there.
+func (l *Batcher[Key, Item]) Remove(key Key, item Item) bool {
 	at := l.lines[key]
 	if at == nil {
 		return false
@@ -65,8 +65,8 @@
 	return true
 }
 
-// Due tells when the first batch leaves.
-func (l *Lines[Key, Item]) Due() (due router.Time, any bool) {
+// NextDue tells when the first batch leaves.
+func (l *Batcher[Key, Item]) NextDue() (due router.Time, any bool) {
 	for _, key := range l.order {
 		if at := l.lines[key]; !any || at.leave < due {
 			due, any = at.leave, true
@@ -75,8 +75,8 @@
 	return due, any
 }
 
-// Leave gives the next batch whose wait is over; nil: there is none.
-func (l *Lines[Key, Item]) Leave(now router.Time) (Key, []Item) {
+// PopDue gives the next batch whose wait is over; nil: there is none.
+func (l *Batcher[Key, Item]) PopDue(now router.Time) (Key, []Item) {
 	for _, key := range l.order {
 		if l.lines[key].leave <= now {
 			return key, l.take(key)
@@ -86,7 +86,7 @@
 	return none, nil
 }
 
-func (l *Lines[Key, Item]) take(key Key) []Item {
+func (l *Batcher[Key, Item]) take(key Key) []Item {
 	items := l.lines[key].items
 	delete(l.lines, key)
 	l.order = slices.DeleteFunc(l.order, func(k Key) bool { return k == key })
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -41,7 +41,7 @@
 					out = l.Add(now, f[1], f[2], most, wait*10, soft*10)
 					continue
 				case "drop":
-					if !l.Drop(f[1], f[2]) {
+					if !l.Remove(f[1], f[2]) {
 						t.Fatalf("line %d, %q: it is not there", i+2, step)
 					}
 					continue
@@ -53,14 +53,14 @@
 					continue
 				case "leaves":
 					if out == nil {
-						_, out = l.Leave(now)
+						_, out = l.PopDue(now)
 					}
 					if got = strings.Join(out, " "); got == "" {
 						got = "-"
 					}
 					out = nil
 				case "due":
-					if due, any := l.Due(); !any {
+					if due, any := l.NextDue(); !any {
 						got = "-"
 					} else {
 						got = fmt.Sprint(due / 10)
--- a/internal/clients/conn.go
+++ b/internal/clients/conn.go
@@ -33,10 +33,10 @@
 type conn struct {
 	s       *Server
 	nc      net.Conn
-	now     sock.Writer
+	now     sock.Socket
 	dec     jsonrpc.Decoder
 	headers atomic.Bool
-	right   access.Right
+	right   access.Permissions
 	peer    limits.PeerID
 	turns   chan struct{} // room for RPCs that are on their way to the loop
 	batch   *batch        // the one that the reader is in
@@ -59,7 +59,7 @@
 	c     *conn
 	id    jsonrpc.ID // empty: a notification
 	batch *batch
-	ask   *front.Ask
+	ask   *front.Request
 }
 
 // batch gathers answers until all its parts have theirs.
@@ -70,8 +70,8 @@
 	out  []byte
 }
 
-func newConn(s *Server, nc net.Conn, peer limits.PeerID, right access.Right) *conn {
-	c := &conn{s: s, nc: nc, now: sock.NewWriter(nc), turns: make(chan struct{}, s.o.Limits.Open), byID: map[string]*pending{}, right: right}
+func newConn(s *Server, nc net.Conn, peer limits.PeerID, right access.Permissions) *conn {
+	c := &conn{s: s, nc: nc, now: sock.NewSocket(nc), turns: make(chan struct{}, s.o.Limits.OpenRPCs), byID: map[string]*pending{}, right: right}
 	c.peer = peer
 	c.more = sync.NewCond(&c.mu)
 	return c
@@ -86,7 +86,7 @@
 		c.awaitAnswers(ctx)
 	} else if ctx.Err() == nil && !errors.Is(why, net.ErrClosed) && !errors.Is(why, syscall.ECONNRESET) {
 		c.s.o.Log.Info().Err(why).Msg("a client's connection ends")
-		c.say(jsonrpc.AppendError(nil, jsonrpc.Null, jsonrpc.ParseError, "framing: "+why.Error(), nil))
+		c.say(jsonrpc.AppendError(nil, jsonrpc.NullID, jsonrpc.ParseError, "framing: "+why.Error(), nil))
 		c.awaitAnswers(ctx)
 	}
 	c.s.loop.Post(c.leave)
@@ -106,9 +106,9 @@
 	r := jsonrpc.NewReader(c.nc, c.s.o.Limits.ValueBytes)
 	for {
 		value, err := r.Next()
-		c.headers.Store(r.Headers())
+		c.headers.Store(r.HasHeaders())
 		if err == jsonrpc.ErrTooLarge {
-			c.say(jsonrpc.AppendError(nil, jsonrpc.Null, jsonrpc.InvalidRequest,
+			c.say(jsonrpc.AppendError(nil, jsonrpc.NullID, jsonrpc.InvalidRequest,
 				fmt.Sprintf("a value of more than %d bytes", c.s.o.Limits.ValueBytes), nil))
 			continue
 		}
@@ -128,7 +128,7 @@
 func (c *conn) awaitAnswers(ctx context.Context) {
 	for ctx.Err() == nil && !c.peerGone() {
 		none := make(chan bool, 1)
-		if !c.s.loop.Post(func() { none <- c.at().Len() == 0 }) || <-none && c.waiting() == 0 {
+		if !c.s.loop.Post(func() { none <- c.at().OpenRPCs() == 0 }) || <-none && c.waiting() == 0 {
 			return
 		}
 		select {
@@ -156,14 +156,14 @@
 // leave ends what is open; in a turn.
 func (c *conn) leave() {
 	if c.desk != nil {
-		c.desk.Leave()
+		c.desk.Close()
 	}
 }
 
 // at is the connection's place at the desk; in a turn.
 func (c *conn) at() *front.Conn {
 	if c.desk == nil {
-		c.desk = c.s.desk.Open(c.peer)
+		c.desk = c.s.desk.OpenConn(c.peer)
 	}
 	return c.desk
 }
@@ -203,7 +203,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.writing == 0 && len(c.out) > 0 && !c.ended {
-		n := c.now.Try(c.out)
+		n := c.now.TryWrite(c.out)
 		c.out = c.out[:copy(c.out, c.out[n:])]
 	}
 	if len(c.out) > 0 {
@@ -238,7 +238,7 @@
 		}
 		if err != nil {
 			if errors.Is(err, syscall.ETIMEDOUT) || isTimeOut(err) {
-				c.s.o.Log.Warn().Dur("for", c.s.o.Limits.WriteTimeOut).Msg("a client that reads nothing is cut off")
+				c.s.o.Log.Warn().Dur("for", c.s.o.Limits.WriteTimeout).Msg("a client that reads nothing is cut off")
 			}
 			c.nc.Close() // the reader sees it
 			return
@@ -254,7 +254,7 @@
 // writeAll gives up once nothing was taken for the time-out.
 func (c *conn) writeAll(out []byte) error {
 	for len(out) > 0 {
-		if err := c.nc.SetWriteDeadline(time.Now().Add(c.s.o.Limits.WriteTimeOut)); err != nil {
+		if err := c.nc.SetWriteDeadline(time.Now().Add(c.s.o.Limits.WriteTimeout)); err != nil {
 			return err
 		}
 		part := out[:min(len(out), 1<<18)]
@@ -266,11 +266,11 @@
 	return nil
 }
 
-// BatchBegins implements jsonrpc.Peer.
-func (c *conn) BatchBegins() { c.batch = &batch{c: c, left: 1} }
+// BeginBatch implements jsonrpc.Peer.
+func (c *conn) BeginBatch() { c.batch = &batch{c: c, left: 1} }
 
-// BatchEnds implements jsonrpc.Peer.
-func (c *conn) BatchEnds() {
+// EndBatch implements jsonrpc.Peer.
+func (c *conn) EndBatch() {
 	b := c.batch
 	c.batch = nil
 	b.add(nil)
@@ -310,7 +310,7 @@
 	var value []byte
 	if len(p.id) > 0 {
 		value = append(nil, p.id)
-		if change := p.c.s.o.Answer; change != nil {
+		if change := p.c.s.o.RewriteAnswer; change != nil {
 			value = change(value)
 		}
 	}
@@ -330,18 +330,18 @@
 	})
 }
 
-// Broken implements jsonrpc.Peer.
-func (c *conn) Broken(id jsonrpc.ID, code int, message string) { c.part(id).fail(code, message) }
+// HandleInvalid implements jsonrpc.Peer.
+func (c *conn) HandleInvalid(id jsonrpc.ID, code int, message string) { c.part(id).fail(code, message) }
 
-// Answered implements jsonrpc.Peer: clients owe no answers.
-func (c *conn) Answered(id jsonrpc.ID, _ []byte, _ int, _ string, _ []byte) {
+// HandleResponse implements jsonrpc.Peer: clients owe no answers.
+func (c *conn) HandleResponse(id jsonrpc.ID, _ []byte, _ int, _ string, _ []byte) {
 	c.part(id).fail(jsonrpc.InvalidRequest, "a response, where nothing was asked")
 }
 
-// Asked implements jsonrpc.Peer.
-func (c *conn) Asked(id jsonrpc.ID, method string, raw []byte) {
+// HandleRequest implements jsonrpc.Peer.
+func (c *conn) HandleRequest(id jsonrpc.ID, method string, raw []byte) {
 	p := c.part(id)
-	m, known := c.s.desk.Method(method)
+	m, known := c.s.desk.MethodIndex(method)
 	if method == "rpc.cancel" {
 		c.askedToCancel(p, raw)
 		return
@@ -359,7 +359,7 @@
 	ps, err := readParams(raw)
 	ps.Method = m
 	if err == nil {
-		if err = c.s.desk.Check(&ps); err != nil {
+		if err = c.s.desk.Validate(&ps); err != nil {
 			err = fmt.Errorf("params: %w", err)
 		}
 	}
@@ -367,8 +367,8 @@
 		p.fail(jsonrpc.InvalidParams, err.Error())
 		return
 	}
-	if err := c.right.May(method, ps.Customer); err != nil {
-		p.fail(NotAllowed, err.Error())
+	if err := c.right.Check(method, ps.Customer); err != nil {
+		p.fail(PermissionDenied, err.Error())
 		return
 	}
 	came := time.Now()
@@ -383,19 +383,19 @@
 }
 
 func readParams(raw []byte) (ps front.Params, err error) {
-	ps.Time = -1
+	ps.TimeoutMS = -1
 	if len(raw) == 0 || raw[0] != '{' {
 		return ps, errors.New("params must be an object that names them")
 	}
 	seen := map[string]bool{}
 	text := func(to *string, name string, v jsontext.Value) error {
-		s, is := jsonrpc.Text(v)
+		s, is := jsonrpc.ParseString(v)
 		if *to = s; !is {
 			return fmt.Errorf("params: %q must be a string", name)
 		}
 		return nil
 	}
-	err = jsonrpc.Members(raw, func(name []byte, v jsontext.Value) error {
+	err = jsonrpc.ForEachMember(raw, func(name []byte, v jsontext.Value) error {
 		n := string(name)
 		if seen[n] {
 			return fmt.Errorf("params: %.80q stands twice", n)
@@ -409,8 +409,8 @@
 		case "token":
 			return text(&ps.Token, n, v)
 		case "time_ms":
-			t, is := jsonrpc.Number(v)
-			if ps.Time = t; !is || t < 0 {
+			t, is := jsonrpc.ParseNumber(v)
+			if ps.TimeoutMS = t; !is || t < 0 {
 				return errors.New(`params: "time_ms" must be a number of at least 0`)
 			}
 		case "repeat":
@@ -456,7 +456,7 @@
 	if len(p.id) > 0 {
 		c.byID[string(p.id)] = p
 	}
-	p.ask = c.at().Take(ps, turn.Span(time.Since(came)), p)
+	p.ask = c.at().Submit(ps, turn.FromDuration(time.Since(came)), p)
 }
 
 // over notes that the RPC has its answer.
@@ -484,14 +484,14 @@
 	p.answer(true, func(out []byte, id jsonrpc.ID) []byte {
 		var data []byte
 		if cause != "" {
-			data = append(jsonrpc.AppendText([]byte(`{"cause":`), cause), '}')
+			data = append(jsonrpc.AppendString([]byte(`{"cause":`), cause), '}')
 		}
 		return jsonrpc.AppendError(out, id, Aborted, "aborted", data)
 	})
 }
 
-// Refused implements front.Reply.
-func (p *pending) Refused(message string) {
+// Rejected implements front.Reply.
+func (p *pending) Rejected(message string) {
 	p.over()
 	p.answer(true, func(out []byte, id jsonrpc.ID) []byte {
 		return jsonrpc.AppendError(out, id, jsonrpc.InvalidParams, "params: "+message, nil)
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -27,34 +27,34 @@
 
 // Error codes of our own, in the range that JSON-RPC leaves to servers.
 const (
-	Denied     = -32001 // a retry is harmless; data.come_back_ms advises when
-	Aborted    = -32002 // it may have run
-	NotAllowed = -32003 // the peer may not ask for this
+	Denied           = -32001 // a retry is harmless; data.come_back_ms advises when
+	Aborted          = -32002 // it may have run
+	PermissionDenied = -32003 // the peer may not ask for this
 )
 
 // Limits bound what clients may ask of one front end.
 type Limits struct {
 	Connections  int           // connections at once
-	Open         int           // RPCs open on one connection
+	OpenRPCs     int           // RPCs open on one connection
 	ValueBytes   int           // bytes of one JSON value
 	AnswerBytes  int           // bytes of answers that wait for a slow reader before no more is read from it
-	WriteTimeOut time.Duration // a reader that takes nothing for so long is cut off
+	WriteTimeout time.Duration // a reader that takes nothing for so long is cut off
 }
 
 // Options are a server's settings.
 type Options struct {
-	Limits Limits
-	Answer func(value []byte) []byte // changes an answer as it leaves; nil: it goes as it is
-	Allow  access.List               // none: every peer that can open the socket
-	Status func() []byte             // in a turn: what rpc.status answers; nil: it is no method
-	Log    zerolog.Logger
+	Limits        Limits
+	RewriteAnswer func(value []byte) []byte // changes an answer as it leaves; nil: it goes as it is
+	Allow         access.Rules              // none: every peer that can open the socket
+	Status        func() []byte             // in a turn: what rpc.status answers; nil: it is no method
+	Log           zerolog.Logger
 }
 
 // Server takes connections. The last field belongs to the loop's goroutine.
 type Server struct {
 	o        Options
 	loop     *turn.Loop
-	desk     *front.Desk
+	desk     *front.Dispatcher
 	mu       sync.Mutex
 	conns    map[*conn]bool
 	accepted chan struct{}  // closed once no more connections are taken
@@ -64,7 +64,7 @@
 }
 
 // New makes a server for a desk that loop drives.
-func New(loop *turn.Loop, d *front.Desk, o Options) *Server {
+func New(loop *turn.Loop, d *front.Dispatcher, o Options) *Server {
 	return &Server{o: o, loop: loop, desk: d, conns: map[*conn]bool{}, accepted: make(chan struct{})}
 }
 
@@ -99,8 +99,8 @@
 	return s.serve(ctx, l, func() { close(s.accepted) })
 }
 
-// More has a further listener's connections taken, too, until it is closed; the function that it returns serves.
-func (s *Server) More(ctx context.Context, l net.Listener) func() error {
+// AddListener has a further listener's connections taken, too, until it is closed; the function that it returns serves.
+func (s *Server) AddListener(ctx context.Context, l net.Listener) func() error {
 	s.more.Add(1)
 	return func() error { return s.serve(ctx, l, s.more.Done) }
 }
@@ -131,13 +131,13 @@
 			break
 		}
 		uid, gid, err := peerOf(nc)
-		var right access.Right
+		var right access.Permissions
 		if err == nil {
-			right, err = s.o.Allow.Admit(uid, gid)
+			right, err = s.o.Allow.Authorize(uid, gid)
 		}
 		if err != nil {
 			s.o.Log.Warn().Err(err).Msg("a connection is turned away")
-			turnAway(nc, NotAllowed, err.Error())
+			turnAway(nc, PermissionDenied, err.Error())
 			continue
 		}
 		c := newConn(s, nc, limits.PeerID(uid), right)
@@ -170,7 +170,7 @@
 // turnAway tells a client why its connection is not taken, and closes it.
 func turnAway(nc net.Conn, code int, why string) {
 	_ = nc.SetWriteDeadline(time.Now().Add(time.Second))
-	_, _ = nc.Write(append(jsonrpc.AppendError(nil, jsonrpc.Null, code, why, nil), '\n'))
+	_, _ = nc.Write(append(jsonrpc.AppendError(nil, jsonrpc.NullID, code, why, nil), '\n'))
 	nc.Close()
 }
 
@@ -193,10 +193,10 @@
 	return int64(cred.Uid), int64(cred.Gid), nil
 }
 
-// CloseReads has clients' further writes fail: what they sent before is still read, and nothing is lost between a
+// CloseRead has clients' further writes fail: what they sent before is still read, and nothing is lost between a
 // write that went well and this front end. Connections end once all on them is answered.
 // It waits until the listener, which must be closed, gives no more.
-func (s *Server) CloseReads() {
+func (s *Server) CloseRead() {
 	<-s.accepted
 	s.more.Wait()
 	s.mu.Lock()
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -102,10 +102,10 @@
 	was, candidate := m.state.Stable, m.state.Candidate
 	var out numbered
 	if c.Set != nil {
-		m.state.Set = *c.Set
+		m.state.Settings = *c.Set
 	}
 	for _, r := range c.Reports {
-		m.state.Heard(m.clock, r)
+		m.state.RecordReport(m.clock, r)
 	}
 	if s := c.Submit; s != nil {
 		out.version, out.err = m.state.Submit(m.clock, s.Text, s.Digest, s.By, s.Note, s.Base)
@@ -202,23 +202,23 @@
 	term    atomic.Uint64 // in which this instance leads and knows all that was agreed on before
 
 	mu    sync.Mutex
-	parts map[rollout.Version][]settings.Part
+	parts map[rollout.Version][]settings.Resource
 }
 
 // Serve runs an instance until the context ends. Ready is called once it can be asked.
 func Serve(ctx context.Context, c *settings.Control, log zerolog.Logger, ready func()) error {
-	return ServeWith(ctx, c, log, ready, unixNetwork)
+	return ServeOver(ctx, c, log, ready, unixNetwork)
 }
 
-// ServeWith is Serve over a network of the caller's.
-func ServeWith(ctx context.Context, c *settings.Control, log zerolog.Logger, ready func(), dial Network) (err error) {
+// ServeOver is Serve over a network of the caller's.
+func ServeOver(ctx context.Context, c *settings.Control, log zerolog.Logger, ready func(), dial Network) (err error) {
 	log = log.With().Str("control", c.Name).Logger()
 	shares, err := c.Roll.Shares()
 	if err != nil {
 		return err
 	}
-	set := rollout.Settings{Stages: shares, Hold: rollout.Millis(c.Roll.Hold / 10), Patience: rollout.Millis(c.Roll.Patience / 10),
-		Live: rollout.Millis(c.Roll.Live / 10), Refused: c.Roll.Refused, Worse: c.Roll.Worse, LeastRPCs: uint64(c.Roll.LeastRPCs)}
+	set := rollout.Settings{Stages: shares, Hold: rollout.Millis(c.Roll.Hold / 10), AnswerTimeout: rollout.Millis(c.Roll.AnswerTimeout / 10),
+		LiveTimeout: rollout.Millis(c.Roll.LiveTimeout / 10), MaxRefusedShare: c.Roll.MaxRefusedShare, MaxOKDrop: c.Roll.MaxOKDrop, MinRPCs: uint64(c.Roll.MinRPCs)}
 	if err := os.MkdirAll(c.Dir, 0o700); err != nil {
 		return err
 	}
@@ -261,7 +261,7 @@
 	ctx, end := context.WithCancel(ctx)
 	defer end()
 	s := &service{set: c, log: log, raft: r, m: m, ctx: ctx, reports: make(chan rollout.Report, 1024),
-		parts: map[rollout.Version][]settings.Part{}}
+		parts: map[rollout.Version][]settings.Resource{}}
 	l, err := clients.Listen(c.Socket, 0o600)
 	if err != nil {
 		return err
@@ -381,7 +381,7 @@
 			s.log.Info().Bool("leads", leads).Msg("lead")
 		}
 		s.m.mu.Lock()
-		wants := s.m.state.Wants(max(s.m.clock, rollout.Millis(time.Now().UnixMilli())))
+		wants := s.m.state.TickDue(max(s.m.clock, rollout.Millis(time.Now().UnixMilli())))
 		s.m.mu.Unlock()
 		if leads && wants {
 			_, _ = s.agree(command{}) // what fails is tried again
@@ -391,7 +391,7 @@
 }
 
 // partsOf gives a version's parts; in a call with m locked.
-func (s *service) partsOf(e *rollout.Entry) []settings.Part {
+func (s *service) partsOf(e *rollout.Entry) []settings.Resource {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if parts, known := s.parts[e.Version]; known {
@@ -488,9 +488,9 @@
 	report := rollout.Report{Name: r.Follower, Version: rollout.Version(r.Version), Digest: r.Digest, Kept: r.Kept,
 		Refused: f.last.Refused, Reason: f.last.Reason}
 	if g := r.Figures; g != nil {
-		report.Figures = rollout.Figures{Taken: g.Taken, OK: g.Ok, Denied: g.Denied, Aborted: g.Aborted}
+		report.Counters = rollout.Counters{Taken: g.Taken, OK: g.Ok, Denied: g.Denied, Aborted: g.Aborted}
 	} else {
-		report.Figures = f.last.Figures
+		report.Counters = f.last.Counters
 	}
 	if f.last.Name == "" || r.Nonce == "" {
 		if v := rollout.Version(r.Refused); v != 0 {
@@ -531,7 +531,7 @@
 	set := parts
 	if base := st.Entries[f.last.Version]; !f.whole && base != nil && base.Text != "" && base.Digest == f.last.Digest {
 		var removed []resources.ID
-		set, removed = resources.Changes(f.s.partsOf(base), parts)
+		set, removed = resources.Diff(f.s.partsOf(base), parts)
 		out.Base = uint64(base.Version)
 		for _, id := range removed {
 			out.Removed = append(out.Removed, &wire.ResourceName{Type: id.Type, Name: id.Name})
@@ -613,10 +613,10 @@
 	for v := st.Newest; v > 0 && len(out.Versions) < 1000; v-- {
 		if e := st.Entries[v]; e != nil {
 			out.Versions = append(out.Versions, &wire.VersionStatus{Version: uint64(v), Digest: e.Digest, State: e.State,
-				Reason: e.Reason, By: e.By, Note: e.Note, UnixMs: int64(e.At)})
+				Reason: e.Reason, By: e.By, Note: e.Note, UnixMs: int64(e.CreatedAt)})
 		}
 	}
-	for _, f := range st.List(rollout.Millis(time.Now().UnixMilli())) {
+	for _, f := range st.ListFollowers(rollout.Millis(time.Now().UnixMilli())) {
 		out.Followers = append(out.Followers, &wire.FollowerStatus{Name: f.Name, Version: uint64(f.Version),
 			Target: uint64(st.Target(f.Name)), Refused: uint64(f.Refused), Reason: f.Reason, Kept: f.Kept, Live: f.Live})
 	}
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -124,7 +124,7 @@
 	ended, ready := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
-		if err := ServeWith(ctx, c, zerolog.Nop(), func() { close(ready) }, r.cable.from(r.peer(i))); err != nil {
+		if err := ServeOver(ctx, c, zerolog.Nop(), func() { close(ready) }, r.cable.from(r.peer(i))); err != nil {
 			r.t.Error(err)
 		}
 	}()
@@ -351,14 +351,14 @@
 }
 
 // follower is a real one whose versions do nothing.
-func follower(t *testing.T, r *trio, fs lastgood.FS) (s *steer.Steer, stop func()) {
-	o := steer.Options{Name: "f", Sockets: r.sockets(), Keep: lastgood.Store{FS: fs, Path: r.path("kept")},
-		RedialMin: 5 * time.Millisecond, RedialMax: 20 * time.Millisecond, FiguresEvery: 20 * time.Millisecond, Log: zerolog.Nop(),
+func follower(t *testing.T, r *trio, fs lastgood.FS) (s *steer.Client, stop func()) {
+	o := steer.Options{Name: "f", Sockets: r.sockets(), Store: lastgood.Store{FS: fs, Path: r.path("kept")},
+		RedialMin: 5 * time.Millisecond, RedialMax: 20 * time.Millisecond, ReportInterval: 20 * time.Millisecond, Log: zerolog.Nop(),
 		Check: func(v uint64, text string) (steer.Change, error) {
 			_, err := settings.ReadConfiguration(fmt.Sprintf("version %d", v), strings.NewReader(text))
 			return nothing{}, err
 		}}
-	b, _ := steer.Load(o)
+	b, _ := steer.LoadInitial(o)
 	s = steer.New(o, b)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -407,7 +407,7 @@
 		_, st, err := c.Leader(context.Background())
 		return err == nil && st.Stable == v
 	})
-	if got := s.Status(); got.Version != v || got.From != "disk" {
+	if got := s.Status(); got.Version != v || got.Source != "disk" {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/day/config.go
+++ b/internal/day/config.go
@@ -12,14 +12,14 @@
 func Configuration(s *settings.Scenario, dir string, n int, bad bool, rng *rand.Rand) (string, error) {
 	next := s.Service
 	next.Methods = append([]settings.Method(nil), s.Service.Methods...)
-	next.CallOuts.ComeBack += 1 + router.Time(n%50)
+	next.CallOuts.RetryAfter += 1 + router.Time(n%50)
 	switch n % 4 { // a method comes, and goes with the next
 	case 0:
 		extra := next.Methods[0]
 		extra.Name = fmt.Sprintf("extra-%d", n)
 		next.Methods = append(next.Methods, extra)
 	case 1:
-		next.Functions.Some = append([]settings.Function{{Name: fmt.Sprintf("fn-%d", n), Lanes: 2}}, next.Functions.Some...)
+		next.Functions.Overrides = append([]settings.Function{{Name: fmt.Sprintf("fn-%d", n), Lanes: 2}}, next.Functions.Overrides...)
 	}
 	more := ""
 	switch {
@@ -40,7 +40,7 @@
 			next.Methods = nil
 		}
 	}
-	text, err := settings.Text("service", next)
+	text, err := settings.ElementText("service", next)
 	return "<configuration>\n" + text + more + "</configuration>\n", err
 }
 
@@ -50,6 +50,6 @@
 	next := s.Service
 	next.Shared.FrontEnds = 4 * s.Fleet.FrontEnds
 	next.CallOuts.Check, next.CallOuts.Advise = false, false
-	text, err := settings.Text("service", next)
+	text, err := settings.ElementText("service", next)
 	return "<configuration>\n" + text + "</configuration>\n", err
 }
--- a/internal/emulate/client.go
+++ b/internal/emulate/client.go
@@ -28,7 +28,7 @@
 	life  int // the front end's that it was sent to
 	mark  string
 	ms    float64
-	ask   *front.Ask
+	ask   *front.Request
 	conn  *front.Conn // its own, of an impatient client
 	timer turn.Timer
 	to    way
@@ -37,13 +37,13 @@
 }
 
 func (c *client) deadline() router.Time {
-	return c.w.start + turn.Span(c.a.At) + c.Method.Deadline
+	return c.w.start + turn.FromDuration(c.a.At) + c.Method.Deadline
 }
 
 // try sends it once.
 func (c *client) try() {
 	w := c.w
-	span, repeat, goes := c.Try(w.since(), turn.Duration(c.deadline()-w.now))
+	span, repeat, goes := c.Try(w.since(), turn.ToDuration(c.deadline()-w.now))
 	if !goes {
 		c.ended(day.Lost)
 		return
@@ -52,8 +52,8 @@
 		if w.fronts[i].diedAt == 0 {
 			return -1
 		}
-		return turn.Duration(w.now - w.fronts[i].diedAt)
-	}, turn.Duration(w.s.Clients.Notice))]
+		return turn.ToDuration(w.now - w.fronts[i].diedAt)
+	}, turn.ToDuration(w.s.Clients.Notice))]
 	t := &attempt{c: c, f: f, life: f.life, mark: fmt.Sprintf("%d/%d", c.a.N, c.tries), ms: math.Floor(float64(span)/1e5) / 10}
 	c.tries++
 	patience, closes, impatient := c.Impatient()
@@ -62,7 +62,7 @@
 		return
 	}
 	t.keep(record.Sent, "")
-	p := front.Params{Method: f.methods[c.Method.Name], Function: c.a.Function, Customer: c.a.Mix.Customer, Time: t.ms,
+	p := front.Params{Method: f.methods[c.Method.Name], Function: c.a.Function, Customer: c.a.Mix.Customer, TimeoutMS: t.ms,
 		Payload: []byte(t.mark), Repeat: repeat}
 	if c.Method.Effect == router.Tokened {
 		p.Token = c.Token
@@ -71,12 +71,12 @@
 	w.at(t.to.arrival(w), func() {
 		f.do(t.life, func() {
 			t.conn = f.conn(c.a.N, impatient)
-			t.ask = t.conn.Take(p, 0, t)
+			t.ask = t.conn.Submit(p, 0, t)
 		})
 	})
-	w.events.Set(&t.timer, w.now+turn.Span(span), func(router.Time) { t.ends(day.Lost, true, 0) })
+	w.events.Set(&t.timer, w.now+turn.FromDuration(span), func(router.Time) { t.ends(day.Lost, true, 0) })
 	if impatient {
-		w.after(turn.Span(patience), func() { t.leaves(closes) })
+		w.after(turn.FromDuration(patience), func() { t.leaves(closes) })
 	}
 }
 
@@ -95,7 +95,7 @@
 		t.f.do(t.life, func() {
 			switch {
 			case closes && t.conn != nil:
-				t.conn.Leave()
+				t.conn.Close()
 			case t.ask != nil:
 				t.ask.Cancel()
 			}
@@ -119,7 +119,7 @@
 		}
 		delete(t.f.open, t)
 		t.keep(record.Answer, outcome)
-		t.ends(outcome, true, turn.Duration(comeBack))
+		t.ends(outcome, true, turn.ToDuration(comeBack))
 	})
 }
 
@@ -144,7 +144,7 @@
 		c.ended(outcome)
 		return
 	}
-	w.after(turn.Span(wait), func() {
+	w.after(turn.FromDuration(wait), func() {
 		if c.w.now >= c.deadline() {
 			c.ended(outcome)
 			return
@@ -163,8 +163,8 @@
 		outcome = c.last
 	}
 	c.w.rpcs = append(c.w.rpcs, RPC{N: int32(c.a.N), Method: c.Method.Name, Function: c.a.Function, DueMs: c.a.At.Seconds() * 1000,
-		TookMs: float64(c.w.now-c.w.start-turn.Span(c.a.At)) / 10, Outcome: outcome, Tries: int32(c.tries)})
-	c.w.book.Count(c.Method, c.a.At, outcome, turn.Duration(c.w.now-c.w.start-turn.Span(c.a.At)))
+		TookMs: float64(c.w.now-c.w.start-turn.FromDuration(c.a.At)) / 10, Outcome: outcome, Tries: int32(c.tries)})
+	c.w.book.Count(c.Method, c.a.At, outcome, turn.ToDuration(c.w.now-c.w.start-turn.FromDuration(c.a.At)))
 }
 
 // OK implements front.Reply.
@@ -176,5 +176,5 @@
 // Aborted implements front.Reply.
 func (t *attempt) Aborted(string) { t.answered(day.Aborted, 0) }
 
-// Refused implements front.Reply.
-func (t *attempt) Refused(string) { t.answered("refused", 0) }
+// Rejected implements front.Reply.
+func (t *attempt) Rejected(string) { t.answered("refused", 0) }
--- a/internal/emulate/front.go
+++ b/internal/emulate/front.go
@@ -29,7 +29,7 @@
 	alive   bool
 	diedAt  router.Time // 0: it lives, as far as clients know
 	e       *engine.Engine
-	desk    *front.Desk
+	desk    *front.Dispatcher
 	methods map[string]int
 	set     *settings.FrontEnd // as it is now
 	links   map[string]*link
@@ -53,23 +53,23 @@
 	f.alive, f.closed, f.diedAt, f.stalled, f.inbox = true, false, 0, false, nil
 	f.links, f.open, f.pool, f.methods = map[string]*link{}, map[*attempt]bool{}, nil, map[string]int{}
 	set := &settings.FrontEnd{Number: f.i, Of: w.s.Fleet.FrontEnds, Zone: w.s.ZoneOf(f.i), Service: w.s.Service,
-		Clients: settings.Defaults()}
+		Clients: settings.DefaultClients()}
 	f.set = set
 	own := &set.Clients
 	own.Open = 100000 // as rehearsals have it
-	f.e = engine.New(engine.Options{Settings: set.Module(), Seed: w.s.Seed + int64(f.i), Now: f.now(), Margin: own.Margin,
-		CallOff: own.CallOff, Log: func(string) {}, Module: w.module})
+	f.e = engine.New(engine.Options{Settings: set.RouterSettings(), Seed: w.s.Seed + int64(f.i), Now: f.now(), AnswerMargin: own.Margin,
+		CancelWait: own.CallOff, Log: func(string) {}, NewRouter: w.module})
 	methods := w.s.Service.EngineMethods()
 	for i, m := range methods {
 		f.methods[m.Name] = i
 	}
-	f.desk = front.NewDesk(f.e, front.Options{Methods: methods, Customers: w.s.Service.CustomerNames(), Function: w.s.Service.FunctionFor(),
-		Margin: own.Margin, Gate: f.set.Gate()})
+	f.desk = front.New(f.e, front.Options{Methods: methods, Customers: w.s.Service.CustomerNames(), FunctionSpec: w.s.Service.FunctionFor(),
+		AnswerMargin: own.Margin, Limits: f.set.LimitSettings()})
 	w.keep(record.Record{Kind: record.Restarts, Who: "world", FrontEnd: f.name()})
 	life := f.life
 	w.after(w.delay(), func() {
 		if f.life == life && f.alive {
-			f.told(router.Whole, w.listed)
+			f.told(router.ListComplete, w.listed)
 		}
 	})
 }
@@ -77,13 +77,13 @@
 // renew takes a configuration, as a front end's shell does; in a turn.
 func (f *frontEnd) renew(conf *settings.Configuration) {
 	next := *f.set
-	next.Service = *conf.Settle(&f.set.Service)
-	next.Clients.Bound(conf.Limits)
+	next.Service = *conf.AlignService(&f.set.Service)
+	next.Clients.ApplyLimits(conf.Limits)
 	f.set = &next
 	methods := next.Service.EngineMethods()
-	module := next.Module()
-	f.e.Renew(module, router.Prepare(module), methods)
-	f.desk.Renew(front.Prepare(methods, next.Service.CustomerNames(), next.Service.FunctionFor()), f.set.Gate())
+	module := next.RouterSettings()
+	f.e.UpdateSettings(module, router.ParseSettings(module), methods)
+	f.desk.UpdateSettings(front.NewService(methods, next.Service.CustomerNames(), next.Service.FunctionFor()), f.set.LimitSettings())
 }
 
 // now is its own clock.
@@ -118,10 +118,10 @@
 // conn gives a client's connection.
 func (f *frontEnd) conn(n int, own bool) *front.Conn {
 	if own {
-		return f.desk.Open(limits.PeerID(0))
+		return f.desk.OpenConn(limits.PeerID(0))
 	}
 	for len(f.pool) < max(f.w.s.Clients.Connections, 1) {
-		f.pool = append(f.pool, f.desk.Open(limits.PeerID(0)))
+		f.pool = append(f.pool, f.desk.OpenConn(limits.PeerID(0)))
 	}
 	return f.pool[n%len(f.pool)]
 }
@@ -139,15 +139,15 @@
 
 // turn is one turn of its loop.
 func (f *frontEnd) turn(events ...func()) {
-	f.desk.Begin(f.now())
-	f.e.Begin(f.now())
+	f.desk.BeginTurn(f.now())
+	f.e.BeginTurn(f.now())
 	for _, event := range events {
 		event()
 	}
-	f.desk.Pump()
-	f.e.End()
-	due, any := f.e.Due()
-	if d, is := f.desk.Due(); is && (!any || d < due) {
+	f.desk.Admit()
+	f.e.EndTurn()
+	due, any := f.e.NextDue()
+	if d, is := f.desk.NextDue(); is && (!any || d < due) {
 		due, any = d, true
 	}
 	if any {
@@ -177,7 +177,7 @@
 }
 
 // told brings the roster's list or changes of it.
-func (f *frontEnd) told(form router.ListForm, names []string) {
+func (f *frontEnd) told(form router.ListUpdate, names []string) {
 	w := f.w
 	if !f.alive {
 		return
@@ -188,7 +188,7 @@
 	}
 	var entries []entry
 	for _, name := range names {
-		if m := w.members[name]; form != router.Whole || m.state != router.Gone {
+		if m := w.members[name]; form != router.ListComplete || m.state != router.Gone {
 			entries = append(entries, entry{name, *m})
 			w.keep(record.Record{Kind: record.Told, Who: "roster", FrontEnd: f.name(), Worker: name,
 				State: map[router.Readiness]string{router.Gone: "gone", router.Ready: "ready", router.Draining: "draining"}[m.state]})
@@ -197,18 +197,18 @@
 	version := w.version
 	w.after(w.delay(), func() {
 		f.do(f.life, func() {
-			f.e.ListBegins(form, version)
+			f.e.BeginWorkerList(form, version)
 			for _, e := range entries {
 				s, started := &w.s.Service, e.m.started
 				if started > 0 { // by its own clock
 					started += f.ahead
 				}
-				if f.e.Listed(e.name, e.m.state, started, s.ZoneID(e.m.w.set.Zone), s.CellID(e.m.w.set.Cell), s.KindID(e.m.w.set.Kind)) != nil {
+				if f.e.AddListedWorker(e.name, e.m.state, started, s.ZoneID(e.m.w.set.Zone), s.CellID(e.m.w.set.Cell), s.KindID(e.m.w.set.Kind)) != nil {
 					continue
 				}
 				f.want(e.name, e.m)
 			}
-			f.e.ListEnds()
+			f.e.EndWorkerList()
 		})
 	})
 }
@@ -275,7 +275,7 @@
 			l.dialing, l.worker = false, x
 			l.round++
 			x.links = append(x.links, l)
-			f.e.Connect(l.name, l)
+			f.e.SetLink(l.name, l)
 		})
 	})
 }
@@ -290,15 +290,15 @@
 				return
 			}
 			l.worker = nil
-			f.e.Connect(l.name, nil)
+			f.e.SetLink(l.name, nil)
 			for _, id := range sortedKeys(l.out) {
-				f.e.Answered(id, l.id, router.Reset, router.Untold, 0, nil, []byte("connection lost"), nil)
+				f.e.CallOutEnded(id, l.id, router.Reset, router.WarmthUnknown, 0, nil, []byte("connection lost"), nil)
 			}
 			for _, id := range l.orders {
-				f.e.Held(id, router.Reset, 0)
+				f.e.LoadOrderEnded(id, router.Reset, 0)
 			}
 			for _, id := range l.checks {
-				f.e.Checked(id, router.Reset, nil)
+				f.e.CheckEnded(id, router.Reset, nil)
 			}
 			clear(l.out)
 			l.orders, l.checks = nil, nil
@@ -343,7 +343,7 @@
 	w, fl, name := l.f.w, &flight{}, l.f.name()
 	l.out[id] = fl
 	j := &standin.Job{Method: p.Method.Name, Function: p.Function, Token: p.Token, Mark: string(p.Payload), Until: w.now + left,
-		Memory: p.Fn.Memory, Lanes: p.Fn.Lanes, Load: p.Fn.Load}
+		Memory: p.Spec.MemoryMB, Lanes: p.Spec.Lanes, Load: p.Spec.LoadTime}
 	l.there(func(x *worker) {
 		fl.job = j
 		r := record.Record{Kind: record.Request, Who: x.set.Name, FrontEnd: name, RPC: j.Mark, Method: j.Method, Function: j.Function,
@@ -362,15 +362,15 @@
 					return
 				}
 				delete(l.out, id)
-				l.f.e.Answered(id, l.id, links.Outcome(a.Code), links.Warmth(a.Warmth), a.Crowd, report, []byte(a.Message), nil)
+				l.f.e.CallOutEnded(id, l.id, links.OutcomeOf(a.Code), links.ParseWarmth(a.Warmth), a.Crowd, report, []byte(a.Message), nil)
 			})
 		}
 		x.model.Request(j)
 	})
 }
 
-// CallOff implements engine.Link.
-func (l *link) CallOff(id engine.CallOutID) {
+// CancelCallOut implements engine.Link.
+func (l *link) CancelCallOut(id engine.CallOutID) {
 	fl := l.out[id]
 	if fl == nil {
 		return
@@ -382,8 +382,8 @@
 	})
 }
 
-// Unhold implements engine.Link.
-func (l *link) Unhold(id engine.OrderID) {
+// CancelLoadOrder implements engine.Link.
+func (l *link) CancelLoadOrder(id engine.OrderID) {
 	l.there(func(x *worker) { x.model.Unhold(orderAt{l, id}) })
 }
 
@@ -393,18 +393,18 @@
 	id engine.OrderID
 }
 
-// Hold implements engine.Link.
-func (l *link) Hold(id engine.OrderID, function string, fn engine.Function, copies int, _ router.Time) {
+// OrderLoad implements engine.Link.
+func (l *link) OrderLoad(id engine.OrderID, function string, fn engine.FunctionSpec, copies int, _ router.Time) {
 	w, name := l.f.w, l.f.name()
 	l.orders = append(l.orders, id)
 	l.there(func(x *worker) {
 		if copies > 0 {
 			w.keep(record.Record{Kind: record.Hold, Who: x.set.Name, FrontEnd: name, Function: function, N: copies})
 		}
-		x.model.Hold(orderAt{l, id}, function, copies, fn.Memory, fn.Lanes, fn.Load, func(code, stand int) {
+		x.model.Hold(orderAt{l, id}, function, copies, fn.MemoryMB, fn.Lanes, fn.LoadTime, func(code, stand int) {
 			l.back(x, func() {
 				l.orders = without(l.orders, id)
-				l.f.e.Held(id, links.Outcome(code), stand)
+				l.f.e.LoadOrderEnded(id, links.OutcomeOf(code), stand)
 			})
 		})
 	})
@@ -420,7 +420,7 @@
 		report := append([]float64(nil), x.model.Report()...)
 		l.back(x, func() {
 			l.checks = without(l.checks, id)
-			l.f.e.Checked(id, router.OK, report)
+			l.f.e.CheckEnded(id, router.OK, report)
 		})
 	})
 }
--- a/internal/emulate/worker.go
+++ b/internal/emulate/worker.go
@@ -39,9 +39,9 @@
 	w.workers[set.Name], w.byID[ident.Worker(set.Name)] = x, x
 	cold, started := 0.0, router.Time(0)
 	if set.Cold {
-		cold, started = float64(set.Ramp.Cold)/10, w.now
+		cold, started = float64(set.Rules.Cold)/10, w.now
 	}
-	w.keep(record.Record{Kind: record.Began, Who: set.Name, Zone: set.Zone, Cell: set.Cell, Cold: cold, From: set.Ramp.ColdFrom,
+	w.keep(record.Record{Kind: record.Began, Who: set.Name, Zone: set.Zone, Cell: set.Cell, Cold: cold, From: set.Rules.ColdFrom,
 		Cores: float64(set.Machine.Cores) * set.Machine.Speed})
 	x.lookAgain()
 	w.change(set.Name, func(m *member) { m.w, m.state, m.started = x, router.Ready, started })
@@ -69,7 +69,7 @@
 	x.model.Begin(x.w.now)
 	event()
 	x.timers.Fire(x.w.now)
-	if due, any := x.timers.Due(); any && x.alive {
+	if due, any := x.timers.NextDue(); any && x.alive {
 		x.w.events.Set(&x.wake, max(due, x.w.now), func(router.Time) { x.do(func() {}) })
 	}
 }
--- a/internal/emulate/world.go
+++ b/internal/emulate/world.go
@@ -54,7 +54,7 @@
 	records []record.Record
 	book    *day.Book
 	cuts    []cut
-	module  core.Make // nil: the router
+	module  core.Factory // nil: the router
 	rpcs    []RPC
 
 	looks    int
@@ -106,7 +106,7 @@
 	n := s.Fleet.Network
 	w := &world{s: s, now: epoch, net: rand.New(rand.NewSource(s.Seed ^ 0x6e6574)), workers: map[string]*worker{}, byID: map[router.WorkerID]*worker{},
 		members: map[string]*member{}, book: day.NewBook(s)}
-	module, err := baseline.Named(policy, w.truth)
+	module, err := baseline.Factory(policy, w.truth)
 	if err != nil {
 		return nil, err
 	}
@@ -139,7 +139,7 @@
 	end := w.start + s.Length + longest + s.Slack + 10000
 	events := 0
 	for ; ; events++ {
-		due, any := w.events.Due()
+		due, any := w.events.NextDue()
 		if !any || due > end {
 			break
 		}
@@ -203,7 +203,7 @@
 		apply(m)
 		w.version++
 		for _, f := range w.fronts {
-			f.told(router.Changes, []string{name})
+			f.told(router.ListChanges, []string{name})
 		}
 	})
 }
@@ -221,7 +221,7 @@
 		if !more {
 			return
 		}
-		w.at(w.start+turn.Span(a.At), func() {
+		w.at(w.start+turn.FromDuration(a.At), func() {
 			c := &client{w: w, a: a, Client: day.NewClient(w.s, methods[a.Mix.Method], a)}
 			c.try()
 			next()
@@ -242,4 +242,4 @@
 }
 
 // since is a moment of the day.
-func (w *world) since() time.Duration { return turn.Duration(w.now - w.start) }
+func (w *world) since() time.Duration { return turn.ToDuration(w.now - w.start) }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -26,7 +26,7 @@
 	OK(result, blob []byte)      // blob: bytes beside the result, where the RPC came with some
 	Denied(comeBack router.Time) // 0: no advice when to come back
 	Aborted(cause string)
-	Moved(held bool) // the RPC went out to a worker, or is held by the module again
+	HeldChanged(held bool) // the RPC went out to a worker, or is held by the module again
 }
 
 // Link is the way to one worker. Its methods don't wait; what comes of them is told to the engine in a later turn.
@@ -35,9 +35,9 @@
 	// Send sends an RPC whose client still waits for left. What has not begun to leave by a time never leaves: it ends as
 	// Moot. So does an order.
 	Send(id CallOutID, rpc *RPC, left, by router.Time)
-	CallOff(id CallOutID)
-	Unhold(id OrderID) // nobody wants the load any more
-	Hold(id OrderID, function string, fn Function, copies int, by router.Time)
+	CancelCallOut(id CallOutID)
+	CancelLoadOrder(id OrderID) // nobody wants the load any more
+	OrderLoad(id OrderID, function string, fn FunctionSpec, copies int, by router.Time)
 	Check(id CheckID)
 }
 
@@ -50,23 +50,23 @@
 
 // Method is what the settings say of a kind of RPC that the engine needs itself.
 type Method struct {
-	Name     string
-	Effect   string
-	Group    string  // of a tokened one: the workers that drop its repeats
-	Gain     float64 // what an answer in time is worth
-	Soft     router.Time
-	Batch    int         // so many of one function may ride one call-out to a worker; 1: none do
-	Wait     router.Time // for so long they may wait for each other
-	Deadline router.Time
-	Bytes    int64 // of one RPC's payload; 0: no bound of its own
-	Gone     bool  // it was removed: only RPCs that came before have it
+	Name         string
+	Effect       string
+	Group        string  // of a tokened one: the workers that drop its repeats
+	Gain         float64 // what an answer in time is worth
+	SoftDeadline router.Time
+	MaxBatch     int         // so many of one function may ride one call-out to a worker; 1: none do
+	BatchWait    router.Time // for so long they may wait for each other
+	Deadline     router.Time
+	MaxBytes     int64 // of one RPC's payload; 0: no bound of its own
+	Removed      bool  // it was removed: only RPCs that came before have it
 }
 
-// Function is what the settings tell of a loaded copy of a function.
-type Function struct {
-	Memory float64 // MB of one copy
-	Lanes  int     // RPCs side by side in one copy
-	Load   router.Time
+// FunctionSpec is what the settings tell of a loaded copy of a function.
+type FunctionSpec struct {
+	MemoryMB float64 // MB of one copy
+	Lanes    int     // RPCs side by side in one copy
+	LoadTime router.Time
 }
 
 // RPC is the handle of one RPC.
@@ -84,20 +84,20 @@
 	callOff  turn.Timer
 	place    router.MethodID
 
-	Method   *Method
-	Function string
-	Fn       Function
-	Token    string
-	Ticket   string // the client's own id; empty: it has none
-	Customer string
-	Soft     router.Time // when its soft deadline is over
-	Payload  []byte      // JSON
-	Blob     []byte      // bytes beside it
+	Method       *Method
+	Function     string
+	Spec         FunctionSpec
+	Token        string
+	ClientRPCID  string // the client's own id; empty: it has none
+	Customer     string
+	SoftDeadline router.Time // when its soft deadline is over
+	Payload      []byte      // JSON
+	Blob         []byte      // bytes beside it
 }
 
 type named struct {
 	name string
-	fn   Function
+	fn   FunctionSpec
 	used router.Time // last taken or ordered
 }
 
@@ -151,7 +151,7 @@
 // Engine runs one front end.
 type Engine struct {
 	timers  turn.Timers
-	core    *core.Core
+	core    *core.FrontEndRouter
 	log     func(text string)
 	now     router.Time
 	margin  router.Time
@@ -169,7 +169,7 @@
 	counts  Counts
 	listen  func()
 	givenUp func(*RPC, router.Reason)
-	wanted  *leave.Wanted[OrderID]
+	wanted  *leave.LoadDemand[OrderID]
 	lists   uint64      // of workers, that came
 	whole   bool        // the last of them
 	forgot  router.Time // when it was last looked what may be forgotten
@@ -178,52 +178,52 @@
 
 // Options are what an engine is told besides the module's settings.
 type Options struct {
-	Settings router.Settings
-	Seed     int64
-	Now      router.Time
-	Margin   router.Time                     // kept of each RPC's time for the answer's way to the client
-	Log      func(text string)               // the module's lines for those on call
-	Module   core.Make                       // nil: the router
-	CallOff  router.Time                     // how long workers have to tell what came of a call-off
-	Listen   func()                          // the module asks for changes of the list; nil: they come by themselves
-	GivenUp  func(p *RPC, why router.Reason) // the module gives an RPC up; nil: nobody wants to know
+	Settings     router.Settings
+	Seed         int64
+	Now          router.Time
+	AnswerMargin router.Time                     // kept of each RPC's time for the answer's way to the client
+	Log          func(text string)               // the module's lines for those on call
+	NewRouter    core.Factory                    // nil: the router
+	CancelWait   router.Time                     // how long workers have to tell what came of a call-off
+	Subscribe    func()                          // the module asks for changes of the list; nil: they come by themselves
+	OnGiveUp     func(p *RPC, why router.Reason) // the module gives an RPC up; nil: nobody wants to know
 }
 
 // New starts an engine at o.Now.
 func New(o Options) *Engine {
-	e := &Engine{log: o.Log, now: o.Now, margin: o.Margin, rpcs: map[router.RPCID]*RPC{},
+	e := &Engine{log: o.Log, now: o.Now, margin: o.AnswerMargin, rpcs: map[router.RPCID]*RPC{},
 		workers: map[router.WorkerID]*worker{}, names: map[router.FunctionID]named{},
-		orders: map[OrderID]*order{}, checks: map[CheckID]*check{}, listen: o.Listen, givenUp: o.GivenUp,
-		wanted: leave.NewWanted[OrderID](), within: o.CallOff}
+		orders: map[OrderID]*order{}, checks: map[CheckID]*check{}, listen: o.Subscribe, givenUp: o.OnGiveUp,
+		wanted: leave.NewLoadDemand[OrderID](), within: o.CancelWait}
 	if e.givenUp == nil {
 		e.givenUp = func(*RPC, router.Reason) {}
 	}
 	e.heed(o.Settings)
-	e.core = core.New(o.Module, (*port)(e), o.Now, o.Seed, o.Settings)
+	e.core = core.New(o.NewRouter, (*port)(e), o.Now, o.Seed, o.Settings)
 	return e
 }
 
 // heed reads what the engine itself needs of the module's settings.
 func (e *Engine) heed(s router.Settings) {
 	number := func(name string) float64 { v, _ := s[name].(float64); return v }
-	e.most = int(number(terms.Path(terms.May, terms.CallOuts)))
-	e.overlap, _ = s[terms.Path(terms.May, terms.Overlap)].(bool)
-	e.orderBy = router.Time(number(terms.Path(terms.Functions, terms.OrderTimeOut)))
+	e.most = int(number(terms.Join(terms.May, terms.CallOuts)))
+	e.overlap, _ = s[terms.Join(terms.May, terms.Overlap)].(bool)
+	e.orderBy = router.Time(number(terms.Join(terms.Functions, terms.OrderTimeout)))
 }
 
-// Renew takes new settings, as they are and as the module reads them; in a turn. Methods are all that there are, at their places; RPCs taken before are bound by
+// UpdateSettings takes new settings, as they are and as the module reads them; in a turn. Methods are all that there are, at their places; RPCs taken before are bound by
 // the stricter of both.
-func (e *Engine) Renew(s router.Settings, p router.Prepared, methods []Method) {
+func (e *Engine) UpdateSettings(s router.Settings, p router.ParsedSettings, methods []Method) {
 	e.heed(s)
 	for _, p := range e.rpcs {
 		m := &methods[p.place]
-		p.leave.Bind(m.Effect, m.Group)
+		p.leave.Tighten(m.Effect, m.Group)
 	}
-	e.core.Renew(e.now, p)
+	e.core.UpdateSettings(e.now, p)
 }
 
-// Begin begins a turn.
-func (e *Engine) Begin(now router.Time) {
+// BeginTurn begins a turn.
+func (e *Engine) BeginTurn(now router.Time) {
 	e.now = now
 	e.counts.Turns++
 	e.passLater()
@@ -246,18 +246,18 @@
 	maps.DeleteFunc(e.workers, func(_ router.WorkerID, w *worker) bool { return w.gone > 0 && e.now-w.gone >= forgetAfter })
 }
 
-// End ends a turn: timers that are due, then the module settles once.
-func (e *Engine) End() {
+// EndTurn ends a turn: timers that are due, then the module settles once.
+func (e *Engine) EndTurn() {
 	e.timers.Fire(e.now)
-	e.core.Settle(e.now)
+	e.core.Dispatch(e.now)
 }
 
-// Due tells when the engine wants a turn though nothing comes.
-func (e *Engine) Due() (router.Time, bool) {
+// NextDue tells when the engine wants a turn though nothing comes.
+func (e *Engine) NextDue() (router.Time, bool) {
 	if len(e.later) > 0 {
 		return e.now, true
 	}
-	return e.timers.Due()
+	return e.timers.NextDue()
 }
 
 // passLater hands on what came of the last turn's own actions: never in the turn that took them.
@@ -280,45 +280,47 @@
 	return c
 }
 
-// View tells what the module believes, where it can tell; see router.Router.
-func (e *Engine) View() string {
-	if v, can := e.core.Module.(interface{ View() string }); can {
-		return v.View()
+// Describe tells what the module believes, where it can tell; see router.Router.
+func (e *Engine) Describe() string {
+	if v, can := e.core.Router.(interface{ Describe() string }); can {
+		return v.Describe()
 	}
 	return ""
 }
 
-// Take hands an RPC to the module. Left is how long its client waits from now on; m is the method's place in the
+// Submit hands an RPC to the module. Left is how long its client waits from now on; m is the method's place in the
 // settings, customer the customer's, 0 where there are none. The function's name must not meet another's id: see
 // Meets.
-func (e *Engine) Take(m router.MethodID, method *Method, customer router.CustomerID, function string, fn Function,
+func (e *Engine) Submit(m router.MethodID, method *Method, customer router.CustomerID, function string, fn FunctionSpec,
 	token string, left router.Time, repeat bool, payload, blob []byte, client Client) *RPC {
 	for e.lastRPC++; e.rpcs[router.RPCID(e.lastRPC)] != nil; e.lastRPC++ {
 	}
 	id, fid := router.RPCID(e.lastRPC), ident.Function(function)
 	e.names[fid] = named{function, fn, e.now}
 	p := &RPC{e: e, id: id, client: client, end: e.now + max(left-e.margin, 0), Method: method, Function: function,
-		Fn: fn, Token: token, Payload: payload, Blob: blob, Soft: e.now + method.Soft, place: m, leave: leave.RPC{Effect: method.Effect, Group: method.Group}}
+		Spec: fn, Token: token, Payload: payload, Blob: blob, SoftDeadline: e.now + method.SoftDeadline, place: m, leave: leave.RPC{Effect: method.Effect, Group: method.Group}}
 	e.rpcs[id] = p
-	e.wanted.Take(fid)
+	e.wanted.RPCOpened(fid)
 	e.counts.Taken++
 	e.timers.Set(&p.deadline, p.end, p.timeUp)
-	e.core.Take(e.now, id, m, customer, fid, p.end-e.now, 0, fn.Memory, fn.Lanes, fn.Load, repeat)
+	e.core.Submit(e.now, id, m, customer, fid, p.end-e.now, 0, fn.MemoryMB, fn.Lanes, fn.LoadTime, repeat)
 	e.release(p)
 	return p
 }
 
-// Meets tells the name that already goes by the id of this one, where there is such a name.
-func (e *Engine) Meets(function string) (other string, meets bool) {
+// IDCollision tells the name that already goes by the id of this one, where there is such a name.
+func (e *Engine) IDCollision(function string) (other string, meets bool) {
 	known, is := e.names[ident.Function(function)]
 	return known.name, is && known.name != function
 }
 
-// Halted tells whether loads of a function are halted and no copy of it is believed to stand; see router.Router.
-func (e *Engine) Halted(function string) bool { return e.core.Halted(ident.Function(function)) }
+// LoadsHalted tells whether loads of a function are halted and no copy of it is believed to stand; see router.Router.
+func (e *Engine) LoadsHalted(function string) bool {
+	return e.core.LoadsHalted(ident.Function(function))
+}
 
-// Left tells that the client is gone: nothing is owed any more. What is out is called off, and what it alone wanted.
-func (p *RPC) Left() {
+// ClientLeft tells that the client is gone: nothing is owed any more. What is out is called off, and what it alone wanted.
+func (p *RPC) ClientLeft() {
 	if p.closed {
 		return
 	}
@@ -338,7 +340,7 @@
 	p.withdraw()
 	p.settle(p.leave.Verdict())
 	if !p.closed {
-		e.timers.Set(&p.callOff, min(e.now+e.within, p.end), func(router.Time) { p.settle(p.leave.Overdue()) })
+		e.timers.Set(&p.callOff, min(e.now+e.within, p.end), func(router.Time) { p.settle(p.leave.VerdictOnTimeout()) })
 	}
 }
 
@@ -347,7 +349,7 @@
 	for _, id := range slices.Sorted(maps.Keys(e.rpcs)) {
 		p := e.rpcs[id]
 		if p.Cancel(); !p.closed {
-			p.settle(p.leave.Overdue())
+			p.settle(p.leave.VerdictOnTimeout())
 		}
 	}
 }
@@ -355,8 +357,8 @@
 // CallOuts is how many call-outs the RPC has had.
 func (p *RPC) CallOuts() int { return len(p.calls) }
 
-// MayDeny tells whether a client that stops waiting while the RPC goes on may be told that a retry is harmless.
-func (p *RPC) MayDeny() bool { return p.leave.Overdue() == leave.Deny }
+// RetryHarmless tells whether a client that stops waiting while the RPC goes on may be told that a retry is harmless.
+func (p *RPC) RetryHarmless() bool { return p.leave.VerdictOnTimeout() == leave.Deny }
 
 // withdraw takes the client's wish back: the module makes no further call-out, workers hear that nobody waits.
 func (p *RPC) withdraw() {
@@ -365,15 +367,15 @@
 		return
 	}
 	p.leave.Cancel()
-	e.core.Left(e.now, p.id)
+	e.core.ClientLeft(e.now, p.id)
 	for n := range p.calls {
 		if c := &p.calls[n]; !c.done && c.worker.link != nil {
-			c.worker.link.CallOff(CallOutID(uint64(p.id)<<8 | uint64(n)))
+			c.worker.link.CancelCallOut(CallOutID(uint64(p.id)<<8 | uint64(n)))
 		}
 	}
-	for _, id := range e.wanted.Close(ident.Function(p.Function), true) {
+	for _, id := range e.wanted.RPCClosed(ident.Function(p.Function), true) {
 		if o := e.orders[id]; o != nil && o.worker.link != nil {
-			o.worker.link.Unhold(id)
+			o.worker.link.CancelLoadOrder(id)
 		}
 	}
 }
@@ -398,20 +400,20 @@
 func (p *RPC) timeUp(now router.Time) {
 	for n := range p.calls {
 		if c := &p.calls[n]; !c.done {
-			p.ended(n, router.TimedOut, router.Untold, 0, nil, nil, nil)
+			p.ended(n, router.TimedOut, router.WarmthUnknown, 0, nil, nil, nil)
 		}
 	}
 }
 
-// Out tells whether a call-out has not ended.
-func (e *Engine) Out(id CallOutID) bool {
+// CallOutOpen tells whether a call-out has not ended.
+func (e *Engine) CallOutOpen(id CallOutID) bool {
 	p, n := e.rpcs[router.RPCID(id>>8)], int(id&0xff)
 	return p != nil && n < len(p.calls) && !p.calls[n].done
 }
 
-// Answered tells how a call-out ended, as the worker answered or the link saw. Result is the worker's, for OK; the
+// CallOutEnded tells how a call-out ended, as the worker answered or the link saw. Result is the worker's, for OK; the
 // cause in words, else. A call-out that is unknown, over, or of another worker is passed over: it reports false.
-func (e *Engine) Answered(id CallOutID, w router.WorkerID, o router.Outcome, warmth router.Warmth, crowd int,
+func (e *Engine) CallOutEnded(id CallOutID, w router.WorkerID, o router.Outcome, warmth router.Warmth, crowd int,
 	report []float64, result, blob []byte) bool {
 	p, n := e.rpcs[router.RPCID(id>>8)], int(id&0xff)
 	if p == nil || n >= len(p.calls) || p.calls[n].done || p.calls[n].worker.id != w {
@@ -425,7 +427,7 @@
 	e, c := p.e, &p.calls[n]
 	c.done = true
 	p.out--
-	p.leave.Ended(o)
+	p.leave.CallOutEnded(o)
 	if o == router.OK && !p.closed {
 		p.close()
 		e.counts.OK++
@@ -436,16 +438,16 @@
 	if p.leave.Cancelled() {
 		p.settle(p.leave.Verdict())
 	} else if !p.closed && p.out == 0 {
-		p.client.Moved(true)
+		p.client.HeldChanged(true)
 	}
-	e.core.Ended(e.now, p.id, n, c.worker.id, o, p.closed, warmth, crowd, e.now-c.at, report)
+	e.core.CallOutEnded(e.now, p.id, n, c.worker.id, o, p.closed, warmth, crowd, e.now-c.at, report)
 	e.release(p)
 }
 
 // close marks that nothing is owed any more.
 func (p *RPC) close() {
 	if p.closed = true; !p.leave.Cancelled() {
-		p.e.wanted.Close(ident.Function(p.Function), false)
+		p.e.wanted.RPCClosed(ident.Function(p.Function), false)
 	}
 }
 
@@ -459,8 +461,8 @@
 	}
 }
 
-// Connect names the link of a worker; nil: there is none, and call-outs there can't be connected.
-func (e *Engine) Connect(name string, link Link) {
+// SetLink names the link of a worker; nil: there is none, and call-outs there can't be connected.
+func (e *Engine) SetLink(name string, link Link) {
 	e.worker(name).link = link
 }
 
@@ -474,15 +476,15 @@
 	return w
 }
 
-// ListBegins, Listed and ListEnds bring the list of workers or its changes; see router.Router.
-func (e *Engine) ListBegins(form router.ListForm, version uint64) {
+// BeginWorkerList, Listed and ListEnds bring the list of workers or its changes; see router.Router.
+func (e *Engine) BeginWorkerList(form router.ListUpdate, version uint64) {
 	e.lists++
-	e.whole = form == router.Whole
-	e.core.ListBegins(e.now, form, version)
+	e.whole = form == router.ListComplete
+	e.core.BeginWorkerList(e.now, form, version)
 }
 
-// Listed is one entry. Started 0: long ago. A name that meets another's id is refused.
-func (e *Engine) Listed(name string, state router.Readiness, started router.Time, zone router.ZoneID,
+// AddListedWorker is one entry. Started 0: long ago. A name that meets another's id is refused.
+func (e *Engine) AddListedWorker(name string, state router.Readiness, started router.Time, zone router.ZoneID,
 	cell router.CellID, kind router.KindID) error {
 	if w := e.workers[ident.Worker(name)]; w != nil && w.name != name {
 		return fmt.Errorf("worker %q has the id of worker %q: rename one of them", name, w.name)
@@ -493,12 +495,12 @@
 	} else if w.gone == 0 {
 		w.gone = e.now
 	}
-	e.core.Listed(e.now, w.id, state, started, zone, cell, kind, 1)
+	e.core.AddListedWorker(e.now, w.id, state, started, zone, cell, kind, 1)
 	return nil
 }
 
-// ListEnds closes the list.
-func (e *Engine) ListEnds() {
+// EndWorkerList closes the list.
+func (e *Engine) EndWorkerList() {
 	if e.whole {
 		for _, w := range e.workers {
 			if w.listed != e.lists && w.gone == 0 {
@@ -506,28 +508,28 @@
 			}
 		}
 	}
-	e.core.ListEnds(e.now)
+	e.core.EndWorkerList(e.now)
 }
 
-// ListConfirmed tells that the list was whole and true at a time; see router.Router.
-func (e *Engine) ListConfirmed(asOf router.Time) { e.core.ListConfirmed(e.now, asOf) }
+// ConfirmWorkerList tells that the list was whole and true at a time; see router.Router.
+func (e *Engine) ConfirmWorkerList(asOf router.Time) { e.core.ConfirmWorkerList(e.now, asOf) }
 
-// Held answers a load order; one that is unknown or over is passed over.
-func (e *Engine) Held(id OrderID, o router.Outcome, copies int) {
+// LoadOrderEnded answers a load order; one that is unknown or over is passed over.
+func (e *Engine) LoadOrderEnded(id OrderID, o router.Outcome, copies int) {
 	if or := e.orders[id]; or != nil {
 		delete(e.orders, id)
-		e.wanted.Ended(or.fn, id)
+		e.wanted.OrderEnded(or.fn, id)
 		e.timers.Stop(&or.timeOut)
-		e.core.Held(e.now, or.worker.id, or.fn, o, copies, e.now-or.at)
+		e.core.LoadOrderEnded(e.now, or.worker.id, or.fn, o, copies, e.now-or.at)
 	}
 }
 
-// Checked answers a check; one that is unknown or over is passed over.
-func (e *Engine) Checked(id CheckID, o router.Outcome, report []float64) {
+// CheckEnded answers a check; one that is unknown or over is passed over.
+func (e *Engine) CheckEnded(id CheckID, o router.Outcome, report []float64) {
 	if c := e.checks[id]; c != nil {
 		delete(e.checks, id)
 		e.timers.Stop(&c.timeOut)
-		e.core.Checked(e.now, c.worker.id, o, e.now-c.at, report)
+		e.core.CheckEnded(e.now, c.worker.id, o, e.now-c.at, report)
 	}
 }
 
@@ -542,18 +544,18 @@
 	}
 	n, wk := len(p.calls), e.workers[w]
 	p.calls = append(p.calls, callOut{worker: wk, at: e.now})
-	p.leave.Sent()
+	p.leave.CallOutSent()
 	if p.out++; p.out == 1 && !p.closed {
-		p.client.Moved(false)
+		p.client.HeldChanged(false)
 	}
 	moot := p.closed || e.now >= p.end || n >= e.most || p.out > 1 && !e.overlap
 	id := CallOutID(uint64(rpc)<<8 | uint64(n))
 	switch {
 	case moot:
-		e.later = append(e.later, func() { e.Answered(id, w, router.Moot, router.Untold, 0, nil, nil, nil) })
+		e.later = append(e.later, func() { e.CallOutEnded(id, w, router.NotSent, router.WarmthUnknown, 0, nil, nil, nil) })
 	case wk.link == nil:
 		e.later = append(e.later, func() {
-			e.Answered(id, w, router.ConnectFailed, router.Untold, 0, nil, []byte("no link to "+wk.name), nil)
+			e.CallOutEnded(id, w, router.ConnectFailed, router.WarmthUnknown, 0, nil, []byte("no link to "+wk.name), nil)
 		})
 	default:
 		e.counts.CallOuts++
@@ -564,7 +566,7 @@
 		wk.link.Send(id, p, left, by)
 		if limit > 0 && e.now+limit < p.end {
 			e.timers.Set(new(turn.Timer), e.now+limit, func(router.Time) {
-				e.Answered(id, w, router.TimedOut, router.Untold, 0, nil, nil, nil)
+				e.CallOutEnded(id, w, router.TimedOut, router.WarmthUnknown, 0, nil, nil, nil)
 			})
 		}
 	}
@@ -594,25 +596,25 @@
 	}
 }
 
-// Retract implements router.Port.
-func (pt *port) Retract(rpc router.RPCID, n int) {
+// CancelCallOut implements router.Port.
+func (pt *port) CancelCallOut(rpc router.RPCID, n int) {
 	e, p := (*Engine)(pt), pt.rpcs[rpc]
 	if p == nil || n >= len(p.calls) || p.calls[n].done {
 		return
 	}
 	c, id := &p.calls[n], CallOutID(uint64(rpc)<<8|uint64(n))
 	if c.worker.link != nil {
-		c.worker.link.CallOff(id)
+		c.worker.link.CancelCallOut(id)
 	}
 	w := c.worker.id
-	e.later = append(e.later, func() { e.Answered(id, w, router.CalledOff, router.Untold, 0, nil, nil, nil) })
+	e.later = append(e.later, func() { e.CallOutEnded(id, w, router.Cancelled, router.WarmthUnknown, 0, nil, nil, nil) })
 }
 
-// Remind implements router.Port.
-func (pt *port) Remind(after router.Time, token uint64) {
+// SetTimer implements router.Port.
+func (pt *port) SetTimer(after router.Time, token uint64) {
 	e := (*Engine)(pt)
 	// never in the turn that asks for it
-	e.timers.Set(new(turn.Timer), e.now+max(after, 1), func(now router.Time) { e.core.Reminded(now, token) })
+	e.timers.Set(new(turn.Timer), e.now+max(after, 1), func(now router.Time) { e.core.TimerFired(now, token) })
 }
 
 // Check implements router.Port.
@@ -624,15 +626,15 @@
 	e.checks[id] = c
 	e.counts.Checks++
 	if wk.link == nil {
-		e.later = append(e.later, func() { e.Checked(id, router.ConnectFailed, nil) })
+		e.later = append(e.later, func() { e.CheckEnded(id, router.ConnectFailed, nil) })
 		return
 	}
-	e.timers.Set(&c.timeOut, e.now+e.orderBy, func(router.Time) { e.Checked(id, router.TimedOut, nil) })
+	e.timers.Set(&c.timeOut, e.now+e.orderBy, func(router.Time) { e.CheckEnded(id, router.TimedOut, nil) })
 	wk.link.Check(id)
 }
 
-// Hold implements router.Port.
-func (pt *port) Hold(w router.WorkerID, fn router.FunctionID, n int, by router.Time) {
+// OrderLoad implements router.Port.
+func (pt *port) OrderLoad(w router.WorkerID, fn router.FunctionID, n int, by router.Time) {
 	e, wk := (*Engine)(pt), pt.workers[w]
 	e.lastID++
 	id := OrderID(e.lastID)
@@ -640,21 +642,21 @@
 	e.orders[id] = o
 	if n > 0 {
 		e.counts.Orders++
-		e.wanted.Ordered(fn, id)
+		e.wanted.OrderSent(fn, id)
 	}
 	if wk.link == nil {
-		e.later = append(e.later, func() { e.Held(id, router.ConnectFailed, 0) })
+		e.later = append(e.later, func() { e.LoadOrderEnded(id, router.ConnectFailed, 0) })
 		return
 	}
-	e.timers.Set(&o.timeOut, e.now+e.orderBy, func(router.Time) { e.Held(id, router.TimedOut, 0) })
+	e.timers.Set(&o.timeOut, e.now+e.orderBy, func(router.Time) { e.LoadOrderEnded(id, router.TimedOut, 0) })
 	f := e.names[fn]
 	f.used = e.now
 	e.names[fn] = f
-	wk.link.Hold(id, f.name, f.fn, n, by)
+	wk.link.OrderLoad(id, f.name, f.fn, n, by)
 }
 
-// Listen implements router.Port.
-func (pt *port) Listen() {
+// SubscribeWorkers implements router.Port.
+func (pt *port) SubscribeWorkers() {
 	if pt.listen != nil {
 		pt.listen()
 	}
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -76,7 +76,7 @@
 	for _, v := range x.Varied {
 		var next [][]settings.Override
 		for _, g := range grids {
-			steps, _ := v.Steps() // checked with the plan
+			steps, _ := v.OverrideSets() // checked with the plan
 			for _, step := range steps {
 				next = append(next, slices.Concat(g, step))
 			}
@@ -93,7 +93,7 @@
 				name := strings.TrimSuffix(filepath.Base(d.File), ".xml")
 				for i := range x.Seeds {
 					out = append(out, job{file: d.File, set: g, Run: Run{Day: name, Policy: p, Set: strings.Join(set, " "),
-						Cell: strings.Join(append([]string{name, p}, set...), " "), Seed: x.First + int64(i)}})
+						Cell: strings.Join(append([]string{name, p}, set...), " "), Seed: x.FirstSeed + int64(i)}})
 				}
 			}
 		}
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -24,10 +24,10 @@
 // another service, after it breaks off in the middle of an answer, and after the wait that it was asked for where it
 // says nothing: the protocol's figures. They run on until an ask that begins later is answered.
 const (
-	SilenceClock = 7 * time.Second
-	ReloadClock  = 4 * time.Second
-	breakClock   = 2 * time.Second
-	waitClock    = 2 * time.Second
+	SilenceExpiry = 7 * time.Second
+	ReloadExpiry  = 4 * time.Second
+	breakClock    = 2 * time.Second
+	waitClock     = 2 * time.Second
 )
 
 const (
@@ -54,23 +54,23 @@
 
 // Event is one change of the list of workers, or a whole list.
 type Event struct {
-	Form    router.ListForm
+	Form    router.ListUpdate
 	Pos     uint64
 	Workers []Worker
 }
 
-// List takes over what one answer told: events that are whole and valid alone, in their order, or none. With them the list
+// EventHandler takes over what one answer told: events that are whole and valid alone, in their order, or none. With them the list
 // is whole and true as of a time; the zero time: nobody knows as of when. It is called from one goroutine at a time.
-type List func(events []Event, asOf time.Time)
+type EventHandler func(events []Event, asOf time.Time)
 
-// Lapse tells that what the service knew at a time counts as told by another one, unless an ask that begins after the
+// ExpiryHandler tells that what the service knew at a time counts as told by another one, unless an ask that begins after the
 // first is answered.
-type Lapse func(since, by time.Time)
+type ExpiryHandler func(since, by time.Time)
 
 // Feed follows one journal service after the other.
 type Feed struct {
-	list  List
-	lapse Lapse
+	list  EventHandler
+	lapse ExpiryHandler
 	log   zerolog.Logger
 	pos   uint64 // the last event that counted
 	gaps  int    // answers in a row that left events out
@@ -87,12 +87,12 @@
 }
 
 // New follows the service at an address once it runs.
-func New(address string, list List, lapse Lapse, log zerolog.Logger) *Feed {
+func New(address string, list EventHandler, lapse ExpiryHandler, log zerolog.Logger) *Feed {
 	return &Feed{address: address, list: list, lapse: lapse, log: log, slack: slackMin}
 }
 
-// Move follows the service at another address from now on; the numbers go on.
-func (f *Feed) Move(address string) {
+// SetAddress follows the service at another address from now on; the numbers go on.
+func (f *Feed) SetAddress(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if address == f.address {
@@ -112,8 +112,8 @@
 	}
 }
 
-// Refresh gives up the ask that is out and asks anew: an answer on its way may be older than one asked for now.
-func (f *Feed) Refresh() {
+// AskAgain gives up the ask that is out and asks anew: an answer on its way may be older than one asked for now.
+func (f *Feed) AskAgain() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.again = true; f.conn != nil {
@@ -165,7 +165,7 @@
 	f.mu.Lock()
 	conn, address := f.conn, f.address
 	f.mu.Unlock()
-	if conn != nil && !conn.Clean() {
+	if conn != nil && !conn.Reusable() {
 		f.drop(conn)
 		conn = nil
 	}
@@ -199,7 +199,7 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		f.slack = min(2*f.slack, slackMost)
 		f.lapse(time.Now(), began.Add(hold+waitClock))
-	case errors.Is(err, hop.ErrSpoilt):
+	case errors.Is(err, hop.ErrBadAnswer):
 		f.lapse(time.Now(), time.Now().Add(breakClock))
 	case err == nil:
 		f.slack = slackMin
@@ -287,9 +287,9 @@
 			last = uint64(pos)
 			continue
 		}
-		form := router.Changes
+		form := router.ListChanges
 		if whole, _ := hosts["reset"].(bool); whole {
-			form, incomplete = router.Whole, false
+			form, incomplete = router.ListComplete, false
 		} else if uint64(pos) != last+1 {
 			if f.gaps < gapsMost {
 				f.gaps++
@@ -324,11 +324,11 @@
 	if len(events) == 0 {
 		return nil
 	}
-	out := Event{Form: router.Changes, Pos: events[len(events)-1].Pos}
+	out := Event{Form: router.ListChanges, Pos: events[len(events)-1].Pos}
 	at := map[string]int{}
 	for _, e := range events {
-		if e.Form == router.Whole {
-			out.Form, out.Workers = router.Whole, nil
+		if e.Form == router.ListComplete {
+			out.Form, out.Workers = router.ListComplete, nil
 			clear(at)
 		}
 		for _, w := range e.Workers {
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -129,7 +129,7 @@
 		var all []string
 		for _, e := range events {
 			form := "changes"
-			if e.Form == router.Whole {
+			if e.Form == router.ListComplete {
 				form = "whole"
 			}
 			words := []string{}
@@ -285,11 +285,11 @@
 	s.asked(0).answer(answer(entry(1, true, "a=active")))
 	fo.tells("1 whole a=1")
 	old := s.asked(1)
-	fo.f.Move(other.address())
+	fo.f.SetAddress(other.address())
 	old.answer(answer(entry(2, false, "a=left")))
 	other.asked(1).answer(answer(entry(2, false, "b=active")))
 	fo.tells("2 changes b=1")
-	fo.f.Move(other.address()) // the same: nothing is given up
+	fo.f.SetAddress(other.address()) // the same: nothing is given up
 	other.asked(2).answer(answer(entry(3, false, "c=active")))
 	fo.tells("3 changes c=1")
 }
@@ -299,7 +299,7 @@
 	told := 0
 	f := New("127.0.0.1:1", func([]Event, time.Time) { told++ }, noLapse, zerolog.Nop())
 	whole := hop.Answer{Status: http.StatusOK, Body: []byte(answer(entry(1, true, "a=active")))}
-	f.Move("127.0.0.1:2")
+	f.SetAddress("127.0.0.1:2")
 	if err := f.answered("127.0.0.1:1", whole, time.Now()); err == nil || told > 0 || f.pos > 0 {
 		t.Errorf("%v, told %d times, at %d", err, told, f.pos)
 	}
@@ -367,7 +367,7 @@
 	s.asked(0).answer(answer(entry(1, true, "a=active")))
 	fo.tells("1 whole a=1")
 	s.asked(1)
-	fo.f.Refresh()
+	fo.f.AskAgain()
 	s.asked(1).answer(answer(entry(2, false, "a=leaving")))
 	fo.tells("2 changes a=2")
 }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -34,7 +34,7 @@
 	Zone     func(string) router.ZoneID
 	Cell     func(string) router.CellID
 	Kind     func(string) router.KindID
-	Static   []Static
+	Static   []StaticWorker
 	Log      zerolog.Logger
 }
 
@@ -60,8 +60,8 @@
 	static bool    // no roster named it: it is the settings' own
 }
 
-// Static is a worker that the settings name themselves: ready unless a roster has told otherwise.
-type Static struct{ Name, Socket, Zone, Cell, Kind string }
+// StaticWorker is a worker that the settings name themselves: ready unless a roster has told otherwise.
+type StaticWorker struct{ Name, Socket, Zone, Cell, Kind string }
 
 type cacheFile struct {
 	SavedUnixMs int64   `json:"saved_unix_ms"`
@@ -74,8 +74,8 @@
 	started router.Time
 }
 
-// Follower follows one roster. Its state belongs to the loop's goroutine.
-type Follower struct {
+// Watcher follows one roster. Its state belongs to the loop's goroutine.
+type Watcher struct {
 	o       Options
 	loop    *turn.Loop
 	engine  *engine.Engine
@@ -96,12 +96,12 @@
 }
 
 // New makes a follower; Run starts it.
-func New(loop *turn.Loop, e *engine.Engine, l *links.Set, o Options) *Follower {
-	return &Follower{o: o, loop: loop, engine: e, links: l, entries: map[string]entry{}, lives: map[string]life{},
+func New(loop *turn.Loop, e *engine.Engine, l *links.Set, o Options) *Watcher {
+	return &Watcher{o: o, loop: loop, engine: e, links: l, entries: map[string]entry{}, lives: map[string]life{},
 		saves: make(chan []entry, 1), told: make(chan struct{}), static: statics(o.Static), sockets: o.Sockets}
 }
 
-func statics(list []Static) map[string]entry {
+func statics(list []StaticWorker) map[string]entry {
 	out := map[string]entry{}
 	for _, w := range list {
 		out[w.Name] = entry{Name: w.Name, Socket: w.Socket, State: "ready", Zone: w.Zone, Cell: w.Cell, Kind: w.Kind,
@@ -110,12 +110,12 @@
 	return out
 }
 
-// Renew takes new settings; in a turn. Workers are listed anew, since zones may have new numbers; a worker that the
+// UpdateSettings takes new settings; in a turn. Workers are listed anew, since zones may have new numbers; a worker that the
 // settings name no more, and no roster does, is gone.
-func (f *Follower) Renew(o Options) {
+func (f *Watcher) UpdateSettings(o Options) {
 	f.o.Zone, f.o.Cell, f.o.Kind = o.Zone, o.Cell, o.Kind
 	f.static = statics(o.Static)
-	f.engine.ListBegins(router.Changes, f.version)
+	f.engine.BeginWorkerList(router.ListChanges, f.version)
 	for _, name := range f.order {
 		e := f.entries[name]
 		if _, still := f.static[name]; e.static && !still {
@@ -124,7 +124,7 @@
 		f.list(e)
 	}
 	f.listStatic()
-	f.engine.ListEnds()
+	f.engine.EndWorkerList()
 	f.mu.Lock()
 	f.sockets = o.Sockets
 	if f.current != nil && !slices.Contains(o.Sockets, f.at) {
@@ -133,8 +133,8 @@
 	f.mu.Unlock()
 }
 
-// StateOf tells what a roster said last of a worker; empty: none named it. In a turn.
-func (f *Follower) StateOf(name string) string {
+// RosterState tells what a roster said last of a worker; empty: none named it. In a turn.
+func (f *Watcher) RosterState(name string) string {
 	if e, known := f.entries[name]; known && !e.static {
 		return e.State
 	}
@@ -142,23 +142,23 @@
 }
 
 // listStatic lists the settings' own workers that no roster has named.
-func (f *Follower) listStatic() {
+func (f *Watcher) listStatic() {
 	names := make([]string, 0, len(f.static))
 	for name := range f.static {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		if f.StateOf(name) == "" {
+		if f.RosterState(name) == "" {
 			f.list(f.static[name])
 		}
 	}
 }
 
 // list tells the engine of one worker, and keeps or drops its link.
-func (f *Follower) list(w entry) {
+func (f *Watcher) list(w entry) {
 	l := f.lives[w.Name]
-	if err := f.engine.Listed(w.Name, states[w.State], l.started, f.o.Zone(w.Zone), f.o.Cell(w.Cell), f.o.Kind(w.Kind)); err != nil {
+	if err := f.engine.AddListedWorker(w.Name, states[w.State], l.started, f.o.Zone(w.Zone), f.o.Cell(w.Cell), f.o.Kind(w.Kind)); err != nil {
 		f.o.Log.Error().Err(err).Msg("a worker is left out")
 		return
 	}
@@ -167,14 +167,14 @@
 	}
 	f.entries[w.Name] = w
 	if w.State == "gone" {
-		f.links.Unwant(w.Name)
+		f.links.Remove(w.Name)
 	} else {
-		f.links.Want(w.Name, w.Socket, ident.Worker(w.Name))
+		f.links.Add(w.Name, w.Socket, ident.Worker(w.Name))
 	}
 }
 
 // Ready tells whether the list names a worker that is ready; in a turn.
-func (f *Follower) Ready() bool {
+func (f *Watcher) Ready() bool {
 	for _, e := range f.entries {
 		if e.State == "ready" {
 			return true
@@ -183,13 +183,13 @@
 	return false
 }
 
-// Told is closed once the roster, not the cache, has told a list.
-func (f *Follower) Told() <-chan struct{} { return f.told }
+// ListReceived is closed once the roster, not the cache, has told a list.
+func (f *Watcher) ListReceived() <-chan struct{} { return f.told }
 
 var states = map[string]router.Readiness{"gone": router.Gone, "ready": router.Ready, "draining": router.Draining}
 
 // Run follows until the context ends. The cached list, if there is one, comes first.
-func (f *Follower) Run(ctx context.Context) error {
+func (f *Watcher) Run(ctx context.Context) error {
 	f.loadCache()
 	pause := redialMin
 	for ctx.Err() == nil {
@@ -200,8 +200,8 @@
 		if told || pause == redialMin {
 			f.o.Log.Warn().Err(err).Msg("roster lost: the last list stands")
 			f.loop.Post(func() {
-				f.engine.ListBegins(router.Failed, f.version)
-				f.engine.ListEnds()
+				f.engine.BeginWorkerList(router.ListFailed, f.version)
+				f.engine.EndWorkerList()
 			})
 		}
 		if told {
@@ -217,7 +217,7 @@
 }
 
 // dial finds the first roster that answers.
-func (f *Follower) dial(ctx context.Context) (nc net.Conn, err error) {
+func (f *Watcher) dial(ctx context.Context) (nc net.Conn, err error) {
 	f.mu.Lock()
 	sockets := f.sockets
 	f.mu.Unlock()
@@ -237,7 +237,7 @@
 }
 
 // watch serves one connection to the roster; told: at least one list came.
-func (f *Follower) watch(ctx context.Context) (told bool, err error) {
+func (f *Watcher) watch(ctx context.Context) (told bool, err error) {
 	nc, err := f.dial(ctx)
 	if err != nil {
 		return false, err
@@ -245,7 +245,7 @@
 	defer nc.Close()
 	stop := context.AfterFunc(ctx, func() { nc.Close() })
 	defer stop()
-	params := append(jsonrpc.AppendText([]byte(`{"front_end":`), f.o.FrontEnd), '}')
+	params := append(jsonrpc.AppendString([]byte(`{"front_end":`), f.o.FrontEnd), '}')
 	hello := jsonrpc.AppendFrame(nil, jsonrpc.AppendRequest(nil, nil, "roster.watch", params), false)
 	if _, err := nc.Write(hello); err != nil {
 		return false, err
@@ -278,32 +278,32 @@
 }
 
 type peer struct {
-	jsonrpc.Singly
-	f    *Follower
+	jsonrpc.IgnoreBatches
+	f    *Watcher
 	acks chan uint64
 	told bool
 	err  error
 }
 
-// Broken implements jsonrpc.Peer.
-func (p *peer) Broken(_ jsonrpc.ID, _ int, message string) {
+// HandleInvalid implements jsonrpc.Peer.
+func (p *peer) HandleInvalid(_ jsonrpc.ID, _ int, message string) {
 	p.err = errors.New("nonsense from the roster: " + message)
 }
 
-// Answered implements jsonrpc.Peer.
-func (p *peer) Answered(jsonrpc.ID, []byte, int, string, []byte) {}
+// HandleResponse implements jsonrpc.Peer.
+func (p *peer) HandleResponse(jsonrpc.ID, []byte, int, string, []byte) {}
 
-// Asked implements jsonrpc.Peer.
-func (p *peer) Asked(_ jsonrpc.ID, method string, params []byte) {
+// HandleRequest implements jsonrpc.Peer.
+func (p *peer) HandleRequest(_ jsonrpc.ID, method string, params []byte) {
 	if method != "roster.list" {
 		return
 	}
 	version, whole := 0.0, false
 	var workers []entry
-	err := jsonrpc.Members(params, func(name []byte, v jsontext.Value) (err error) {
+	err := jsonrpc.ForEachMember(params, func(name []byte, v jsontext.Value) (err error) {
 		switch string(name) {
 		case "version":
-			version, _ = jsonrpc.Number(v)
+			version, _ = jsonrpc.ParseNumber(v)
 		case "whole":
 			whole = v.Kind() == 't'
 		case "workers":
@@ -319,9 +319,9 @@
 		return
 	}
 	p.told = true
-	form := router.Changes
+	form := router.ListChanges
 	if whole {
-		form = router.Whole
+		form = router.ListComplete
 	}
 	applied := make(chan struct{})
 	if !p.f.loop.Post(func() {
@@ -345,13 +345,13 @@
 			return fmt.Errorf("worker %q: unknown state %.40q", w.Name, w.State)
 		}
 	}
-	return ident.Distinct(names, ident.Worker)
+	return ident.CheckDistinct(names, ident.Worker)
 }
 
 // apply brings a list to the engine; in a turn.
-func (f *Follower) apply(form router.ListForm, version uint64, workers []entry) {
+func (f *Watcher) apply(form router.ListUpdate, version uint64, workers []entry) {
 	f.version = version
-	f.engine.ListBegins(form, version)
+	f.engine.BeginWorkerList(form, version)
 	named := map[string]bool{}
 	for _, w := range workers {
 		named[w.Name] = true
@@ -365,18 +365,18 @@
 		}
 		f.list(w)
 	}
-	if form == router.Whole {
+	if form == router.ListComplete {
 		for _, name := range f.order {
 			if e := f.entries[name]; !named[name] && !e.static && e.State != "gone" {
 				e.State = "gone"
 				f.entries[name] = e
-				f.links.Unwant(name)
+				f.links.Remove(name)
 			}
 		}
 	}
 	f.listStatic()
-	f.engine.ListEnds()
-	if form != router.Cached {
+	f.engine.EndWorkerList()
+	if form != router.ListCached {
 		f.once.Do(func() { close(f.told) })
 	}
 	f.o.Log.Debug().Uint64("version", version).Int("entries", len(workers)).Msg("list of workers")
@@ -384,7 +384,7 @@
 }
 
 // save hands the list to be written; only the latest is.
-func (f *Follower) save() {
+func (f *Watcher) save() {
 	if f.o.Cache == "" {
 		return
 	}
@@ -407,8 +407,8 @@
 	f.saves <- list
 }
 
-// Keep writes the lists that come to the cache file until the context ends.
-func (f *Follower) Keep(ctx context.Context) error {
+// WriteCache writes the lists that come to the cache file until the context ends.
+func (f *Watcher) WriteCache(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -421,7 +421,7 @@
 	}
 }
 
-func (f *Follower) writeCache(list []entry) error {
+func (f *Watcher) writeCache(list []entry) error {
 	text, err := json.Marshal(cacheFile{SavedUnixMs: time.Now().UnixMilli(), Workers: list})
 	if err != nil {
 		return err
@@ -441,7 +441,7 @@
 	return os.Rename(tmp.Name(), f.o.Cache)
 }
 
-func (f *Follower) loadCache() {
+func (f *Watcher) loadCache() {
 	if f.o.Cache == "" {
 		return
 	}
@@ -466,5 +466,5 @@
 			c.Workers[i].AgeMs += since
 		}
 	}
-	f.loop.Post(func() { f.apply(router.Cached, 0, c.Workers) })
+	f.loop.Post(func() { f.apply(router.ListCached, 0, c.Workers) })
 }
--- a/internal/frames/frames.go
+++ b/internal/frames/frames.go
@@ -13,8 +13,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Name is what the codec is called when it is agreed on.
-const Name = "cbor"
+// CodecName is what the codec is called when it is agreed on.
+const CodecName = "cbor"
 
 // message is the array; it ends at this package's edge.
 type message struct {
@@ -29,10 +29,10 @@
 	Blob    []byte
 }
 
-// Peer is told what a frame holds. The bytes that it gets are its own.
-type Peer interface {
-	AskedWith(id []byte, method string, params, blob []byte)
-	AnsweredWith(id []byte, result []byte, code int, text string, data, blob []byte)
+// Handler is told what a frame holds. The bytes that it gets are its own.
+type Handler interface {
+	HandleRequestBlob(id []byte, method string, params, blob []byte)
+	HandleResponseBlob(id []byte, result []byte, code int, text string, data, blob []byte)
 }
 
 // AppendRequest appends a request, or a notification where id is empty.
@@ -40,8 +40,8 @@
 	return appendMessage(out, message{ID: id, Method: method, Params: params, Blob: blob})
 }
 
-// AppendAnswer appends a response: a result where code is 0, else an error.
-func AppendAnswer(out, id, result []byte, code int, text string, data, blob []byte) []byte {
+// AppendResponse appends a response: a result where code is 0, else an error.
+func AppendResponse(out, id, result []byte, code int, text string, data, blob []byte) []byte {
 	return appendMessage(out, message{ID: id, Result: result, Code: code, Message: text, Data: data, Blob: blob})
 }
 
@@ -58,7 +58,7 @@
 }
 
 // Read reads one frame of up to limit bytes and tells p. At a clean end it returns io.EOF.
-func Read(in io.Reader, limit int, p Peer) error {
+func Read(in io.Reader, limit int, p Handler) error {
 	var head [4]byte
 	if _, err := io.ReadFull(in, head[:]); err != nil {
 		return err
@@ -80,9 +80,9 @@
 		return fmt.Errorf("a frame is no message: %w", err)
 	}
 	if m.Method != "" {
-		p.AskedWith(m.ID, m.Method, m.Params, m.Blob)
+		p.HandleRequestBlob(m.ID, m.Method, m.Params, m.Blob)
 		return nil
 	}
-	p.AnsweredWith(m.ID, m.Result, m.Code, m.Message, m.Data, m.Blob)
+	p.HandleResponseBlob(m.ID, m.Result, m.Code, m.Message, m.Data, m.Blob)
 	return nil
 }
--- a/internal/frames/frames_test.go
+++ b/internal/frames/frames_test.go
@@ -11,10 +11,10 @@
 
 type told struct{ what string }
 
-func (p *told) AskedWith(id []byte, method string, params, blob []byte) {
+func (p *told) HandleRequestBlob(id []byte, method string, params, blob []byte) {
 	p.what = fmt.Sprintf("asked %s %s %s %x", id, method, params, blob)
 }
-func (p *told) AnsweredWith(id []byte, result []byte, code int, text string, data, blob []byte) {
+func (p *told) HandleResponseBlob(id []byte, result []byte, code int, text string, data, blob []byte) {
 	p.what = fmt.Sprintf("answered %s %s %d %s %s %x", id, result, code, text, data, blob)
 }
 
@@ -22,8 +22,8 @@
 	var b []byte
 	b = AppendRequest(b, []byte("7"), "m", []byte(`{"a":1}`), []byte{0, 255})
 	b = AppendRequest(b, nil, "n", nil, nil)
-	b = AppendAnswer(b, []byte(`"x"`), []byte("1"), 0, "", nil, []byte{1})
-	b = AppendAnswer(b, []byte("8"), nil, -5, "no", []byte("{}"), nil)
+	b = AppendResponse(b, []byte(`"x"`), []byte("1"), 0, "", nil, []byte{1})
+	b = AppendResponse(b, []byte("8"), nil, -5, "no", []byte("{}"), nil)
 	in := bytes.NewReader(b)
 	for _, want := range []string{`asked 7 m {"a":1} 00ff`, "asked  n  ", `answered "x" 1 0   01`, "answered 8  -5 no {} "} {
 		var p told
--- a/internal/front/explore_test.go
+++ b/internal/front/explore_test.go
@@ -19,7 +19,7 @@
 
 // world is one play. It is the link to the only worker.
 type world struct {
-	d       *Desk
+	d       *Dispatcher
 	e       *engine.Engine
 	now     router.Time
 	effect  string
@@ -48,14 +48,14 @@
 	w.out = append(w.out, id)
 }
 
-// CallOff implements engine.Link.
-func (w *world) CallOff(engine.CallOutID) {}
+// CancelCallOut implements engine.Link.
+func (w *world) CancelCallOut(engine.CallOutID) {}
 
-// Unhold implements engine.Link.
-func (w *world) Unhold(engine.OrderID) {}
+// CancelLoadOrder implements engine.Link.
+func (w *world) CancelLoadOrder(engine.OrderID) {}
 
-// Hold implements engine.Link.
-func (w *world) Hold(engine.OrderID, string, engine.Function, int, router.Time) {}
+// OrderLoad implements engine.Link.
+func (w *world) OrderLoad(engine.OrderID, string, engine.FunctionSpec, int, router.Time) {}
 
 // Check implements engine.Link.
 func (w *world) Check(engine.CheckID) {}
@@ -63,22 +63,24 @@
 func newWorld(effect string) *world {
 	w := &world{effect: effect, now: 1e6, ran: map[engine.CallOutID]bool{}}
 	method := engine.Method{Name: "m", Effect: effect, Group: "all", Gain: 1, Deadline: 10000}
-	w.e = engine.New(engine.Options{Now: w.now, CallOff: 1000, Log: func(string) {}, Settings: router.Settings{
-		terms.Methods: 1.0, terms.At(terms.Methods, 0, terms.Effect): effect,
-		terms.At(terms.Methods, 0, terms.Group): "all", terms.At(terms.Methods, 0, terms.Window): 20000.0,
-		terms.Path(terms.May, terms.CallOuts): 3.0, terms.Path(terms.May, terms.Retract): true}})
-	w.d = NewDesk(w.e, Options{Methods: []engine.Method{method}, Gate: limits.Settings{Held: 64, ComeBack: 5000},
-		Function: func(int, string) engine.Function { return engine.Function{Memory: 100, Lanes: 4, Load: 1000} }})
+	w.e = engine.New(engine.Options{Now: w.now, CancelWait: 1000, Log: func(string) {}, Settings: router.Settings{
+		terms.Methods: 1.0, terms.Item(terms.Methods, 0, terms.Effect): effect,
+		terms.Item(terms.Methods, 0, terms.Group): "all", terms.Item(terms.Methods, 0, terms.Window): 20000.0,
+		terms.Join(terms.May, terms.CallOuts): 3.0, terms.Join(terms.May, terms.Retract): true}})
+	w.d = New(w.e, Options{Methods: []engine.Method{method}, Limits: limits.Settings{MaxHeld: 64, MaxRetryAfter: 5000},
+		FunctionSpec: func(int, string) engine.FunctionSpec {
+			return engine.FunctionSpec{MemoryMB: 100, Lanes: 4, LoadTime: 1000}
+		}})
 	for i := range w.conns {
-		w.conns[i] = w.d.Open(limits.PeerID(i))
+		w.conns[i] = w.d.OpenConn(limits.PeerID(i))
 	}
 	w.turn(func() {
-		w.e.ListBegins(router.Whole, 1)
-		if err := w.e.Listed("w", router.Ready, 0, 0, 0, 0); err != nil {
+		w.e.BeginWorkerList(router.ListComplete, 1)
+		if err := w.e.AddListedWorker("w", router.Ready, 0, 0, 0, 0); err != nil {
 			w.broken = err.Error()
 		}
-		w.e.ListEnds()
-		w.e.Connect("w", w)
+		w.e.EndWorkerList()
+		w.e.SetLink("w", w)
 	})
 	return w
 }
@@ -89,23 +91,23 @@
 func (r *reply) OK([]byte, []byte)          { r.told = append(r.told, "ok") }
 func (r *reply) Denied(string, router.Time) { r.told = append(r.told, "denied") }
 func (r *reply) Aborted(string)             { r.told = append(r.told, "aborted") }
-func (r *reply) Refused(string)             { r.told = append(r.told, "refused") }
+func (r *reply) Rejected(string)            { r.told = append(r.told, "refused") }
 
 // turn is one of the front end's, as the gateway has it.
 func (w *world) turn(f func()) {
-	w.d.Begin(w.now)
-	w.e.Begin(w.now)
+	w.d.BeginTurn(w.now)
+	w.e.BeginTurn(w.now)
 	f()
-	w.d.Pump()
-	w.e.End()
+	w.d.Admit()
+	w.e.EndTurn()
 }
 
 // pass lets time go on, with all turns that fall due.
 func (w *world) pass(span router.Time) {
 	end := w.now + span
 	for {
-		due, any := w.e.Due()
-		if d, is := w.d.Due(); is && (!any || d < due) {
+		due, any := w.e.NextDue()
+		if d, is := w.d.NextDue(); is && (!any || d < due) {
 			due, any = d, true
 		}
 		if !any || due > end {
@@ -122,10 +124,10 @@
 	return func() {
 		id := w.out[0]
 		w.out = w.out[1:]
-		if o != router.Full && o != router.ConnectFailed && o != router.Missed {
+		if o != router.Full && o != router.ConnectFailed && o != router.NotLoaded {
 			w.ran[id>>8] = true
 		}
-		w.e.Answered(id, ident.Worker("w"), o, router.Untold, 0, nil, []byte("1"), nil)
+		w.e.CallOutEnded(id, ident.Worker("w"), o, router.WarmthUnknown, 0, nil, []byte("1"), nil)
 	}
 }
 
@@ -144,15 +146,15 @@
 	{"ok", out, func(w *world) { w.turn(w.answer(router.OK)) }},
 	{"full", out, func(w *world) { w.turn(w.answer(router.Full)) }},
 	{"failed", out, func(w *world) { w.turn(w.answer(router.Errored)) }},
-	{"called off", out, func(w *world) { w.turn(w.answer(router.CalledOff)) }},
+	{"called off", out, func(w *world) { w.turn(w.answer(router.Cancelled)) }},
 	{"reset", out, func(w *world) { w.turn(w.answer(router.Reset)) }},
 	{"never reached", out, func(w *world) { w.turn(w.answer(router.ConnectFailed)) }},
 	{"drain", func(w *world) bool { return !w.drained }, func(w *world) {
 		w.turn(func() {
 			w.drained = true
-			w.e.ListBegins(router.Changes, 2)
-			_ = w.e.Listed("w", router.Draining, 0, 0, 0, 0)
-			w.e.ListEnds()
+			w.e.BeginWorkerList(router.ListChanges, 2)
+			_ = w.e.AddListedWorker("w", router.Draining, 0, 0, 0, 0)
+			w.e.EndWorkerList()
 		})
 	}},
 	{"0.3 s pass", func(w *world) bool { return true }, func(w *world) { w.pass(3000) }},
@@ -165,7 +167,7 @@
 func (w *world) ask(i int) {
 	w.asked[i] = true
 	w.turn(func() {
-		w.conns[i].Take(Params{Function: "f", Token: "t", Time: -1, Payload: []byte("1")}, 0, &w.replies[i])
+		w.conns[i].Submit(Params{Function: "f", Token: "t", TimeoutMS: -1, Payload: []byte("1")}, 0, &w.replies[i])
 	})
 }
 
@@ -179,7 +181,7 @@
 
 func (w *world) leave(i int) {
 	w.left[i] = true
-	w.turn(w.conns[i].Leave)
+	w.turn(w.conns[i].Close)
 }
 
 // verdict lets time run out and tells what is wrong.
@@ -199,7 +201,7 @@
 			return "denied, though it may have run"
 		}
 	}
-	if c := w.e.Counts(); c.Open > 0 || w.d.Waiting() > 0 || w.d.Works() > 0 || len(w.conns[0].open)+len(w.conns[1].open) > 0 {
+	if c := w.e.Counts(); c.Open > 0 || w.d.Waiting() > 0 || w.d.TokenedInProgress() > 0 || len(w.conns[0].open)+len(w.conns[1].open) > 0 {
 		return fmt.Sprintf("something is still open: %+v", c)
 	}
 	return ""
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -18,49 +18,49 @@
 	"mallowlanding/router"
 )
 
-// Reply is where an RPC's answer goes; exactly one of its methods is called, once, unless its connection leaves.
-type Reply interface {
+// Responder is where an RPC's answer goes; exactly one of its methods is called, once, unless its connection leaves.
+type Responder interface {
 	OK(result, blob []byte)                      // blob: bytes beside the result, where the RPC came with some
 	Denied(message string, comeBack router.Time) // 0: no advice when to come back
 	Aborted(cause string)
-	Refused(message string) // what it asks for is wrong; it never ran
+	Rejected(message string) // what it asks for is wrong; it never ran
 }
 
 // Options are a desk's settings.
 type Options struct {
-	Methods   []engine.Method
-	Customers []string // by place, empty where one is gone; none: RPCs name no customer
-	Function  func(method int, name string) engine.Function
-	Margin    router.Time // kept of each RPC's time for the answer's way to the client
-	Gate      limits.Settings
-	Wrap      func(engine.Client) engine.Client // nil: answers go as they are
-	Apart     bool                              // RPCs of one token never join: each answer is one that a worker made for that very RPC
+	Methods      []engine.Method
+	Customers    []string // by place, empty where one is gone; none: RPCs name no customer
+	FunctionSpec func(method int, name string) engine.FunctionSpec
+	AnswerMargin router.Time // kept of each RPC's time for the answer's way to the client
+	Limits       limits.Settings
+	WrapClient   func(engine.Client) engine.Client // nil: answers go as they are
+	NoJoin       bool                              // RPCs of one token never join: each answer is one that a worker made for that very RPC
 }
 
 // Params are what an RPC asks for.
 type Params struct {
-	Method   int // place in the settings
-	Function string
-	Customer string
-	Token    string
-	Time     float64 // how long its client waits, in ms; below 0: not told
-	Payload  []byte  // JSON
-	Blob     []byte  // bytes beside it
-	Repeat   bool
-	Ticket   string           // the client's own id of the RPC, which its call-outs carry on; empty: it has none
-	Copy     *engine.Function // what a copy of the function needs, where the RPC itself tells; nil: the settings do
+	Method       int // place in the settings
+	Function     string
+	Customer     string
+	Token        string
+	TimeoutMS    float64 // how long its client waits, in ms; below 0: not told
+	Payload      []byte  // JSON
+	Blob         []byte  // bytes beside it
+	Repeat       bool
+	ClientRPCID  string               // the client's own id of the RPC, which its call-outs carry on; empty: it has none
+	FunctionSpec *engine.FunctionSpec // what a copy of the function needs, where the RPC itself tells; nil: the settings do
 }
 
-// Desk is a front end's, for all of its protocols. It belongs to the loop's goroutine.
-type Desk struct {
+// Dispatcher is a front end's, for all of its protocols. It belongs to the loop's goroutine.
+type Dispatcher struct {
 	o        Options
 	engine   *engine.Engine
 	service  atomic.Pointer[Service]
 	now      router.Time
 	timers   turn.Timers
-	gate     *limits.Gate
-	repeats  *repeats.Open[*Ask]
-	works    map[*repeats.Group[*Ask]]*work
+	gate     *limits.Queue
+	repeats  *repeats.Tracker[*Request]
+	works    map[*repeats.SharedRPC[*Request]]*work
 	order    uint64
 	stopping bool
 }
@@ -70,14 +70,14 @@
 	list      []engine.Method // by place
 	methods   map[string]int  // without those that are gone
 	customers map[string]int
-	function  func(method int, name string) engine.Function
+	function  func(method int, name string) engine.FunctionSpec
 }
 
-// Prepare makes a service of methods and customers by place, those without a name gone; that needs no turn.
-func Prepare(methods []engine.Method, customers []string, function func(int, string) engine.Function) *Service {
+// NewService makes a service of methods and customers by place, those without a name gone; that needs no turn.
+func NewService(methods []engine.Method, customers []string, function func(int, string) engine.FunctionSpec) *Service {
 	s := &Service{list: methods, methods: map[string]int{}, customers: map[string]int{}, function: function}
 	for i, m := range methods {
-		if !m.Gone {
+		if !m.Removed {
 			s.methods[m.Name] = i
 		}
 	}
@@ -89,39 +89,39 @@
 	return s
 }
 
-// NewDesk makes the desk of an engine.
-func NewDesk(e *engine.Engine, o Options) *Desk {
-	d := &Desk{o: o, engine: e, gate: limits.New(o.Gate), repeats: repeats.New[*Ask](),
-		works: map[*repeats.Group[*Ask]]*work{}}
-	d.service.Store(Prepare(o.Methods, o.Customers, o.Function))
+// New makes the desk of an engine.
+func New(e *engine.Engine, o Options) *Dispatcher {
+	d := &Dispatcher{o: o, engine: e, gate: limits.New(o.Limits), repeats: repeats.New[*Request](),
+		works: map[*repeats.SharedRPC[*Request]]*work{}}
+	d.service.Store(NewService(o.Methods, o.Customers, o.FunctionSpec))
 	return d
 }
 
-// Renew takes a new service and new bounds; in a turn. Methods and customers keep their places; one that is gone
+// UpdateSettings takes a new service and new bounds; in a turn. Methods and customers keep their places; one that is gone
 // keeps it for the RPCs that have it. An RPC that waits at the gate goes by the new settings, or is refused by them.
-func (d *Desk) Renew(s *Service, gate limits.Settings) {
+func (d *Dispatcher) UpdateSettings(s *Service, gate limits.Settings) {
 	d.service.Store(s)
-	d.gate.Renew(gate)
+	d.gate.UpdateSettings(gate)
 }
 
-// Method finds a method's place; any goroutine may ask.
-func (d *Desk) Method(name string) (place int, known bool) {
+// MethodIndex finds a method's place; any goroutine may ask.
+func (d *Dispatcher) MethodIndex(name string) (place int, known bool) {
 	place, known = d.service.Load().methods[name]
 	return place, known
 }
 
 // MethodAt is the method at a place; any goroutine may ask.
-func (d *Desk) MethodAt(place int) *engine.Method { return &d.service.Load().list[place] }
+func (d *Dispatcher) MethodAt(place int) *engine.Method { return &d.service.Load().list[place] }
 
-// Check tells what is missing or wrong in what is asked for; any goroutine may ask. The words are those of the
+// Validate tells what is missing or wrong in what is asked for; any goroutine may ask. The words are those of the
 // protocols' parameters.
-func (d *Desk) Check(p *Params) error {
+func (d *Dispatcher) Validate(p *Params) error {
 	s := d.service.Load()
 	m := &s.list[p.Method]
 	_, knownCustomer := s.customers[p.Customer]
 	switch {
-	case m.Bytes > 0 && int64(len(p.Payload)+len(p.Blob)) > m.Bytes:
-		return fmt.Errorf("payload of %d bytes, method %q takes %d", len(p.Payload)+len(p.Blob), m.Name, m.Bytes)
+	case m.MaxBytes > 0 && int64(len(p.Payload)+len(p.Blob)) > m.MaxBytes:
+		return fmt.Errorf("payload of %d bytes, method %q takes %d", len(p.Payload)+len(p.Blob), m.Name, m.MaxBytes)
 	case p.Function == "":
 		return errors.New(`"function" is missing or empty`)
 	case m.Effect == router.Tokened && p.Token == "":
@@ -134,79 +134,79 @@
 	return nil
 }
 
-// Begin tells the time of a turn.
-func (d *Desk) Begin(now router.Time) { d.now = now }
+// BeginTurn tells the time of a turn.
+func (d *Dispatcher) BeginTurn(now router.Time) { d.now = now }
 
-// Pump hands to the engine what may pass the gate: after a turn's events, before the engine's end of the turn.
-func (d *Desk) Pump() {
+// Admit hands to the engine what may pass the gate: after a turn's events, before the engine's end of the turn.
+func (d *Dispatcher) Admit() {
 	d.timers.Fire(d.now)
 	for t := d.gate.Next(); t != nil; t = d.gate.Next() {
-		t.Body.(*Ask).start()
+		t.Value.(*Request).start()
 	}
 }
 
-// Due tells when the desk wants a turn though nothing comes.
-func (d *Desk) Due() (router.Time, bool) {
-	if d.gate.Ready() {
+// NextDue tells when the desk wants a turn though nothing comes.
+func (d *Dispatcher) NextDue() (router.Time, bool) {
+	if d.gate.HasNext() {
 		return d.now, true
 	}
-	return d.timers.Due()
+	return d.timers.NextDue()
 }
 
 // Waiting is the number of RPCs at the gate, which the engine has not taken yet.
-func (d *Desk) Waiting() int { return d.gate.Waiting() }
+func (d *Dispatcher) Waiting() int { return d.gate.Waiting() }
 
-// Works is the number of tokened RPCs at work.
-func (d *Desk) Works() int { return len(d.works) }
+// TokenedInProgress is the number of tokened RPCs at work.
+func (d *Dispatcher) TokenedInProgress() int { return len(d.works) }
 
 // Drain has RPCs that come from now on denied.
-func (d *Desk) Drain() { d.stopping = true }
+func (d *Dispatcher) Drain() { d.stopping = true }
 
-// Stopping tells whether RPCs that come are denied because the front end leaves.
-func (d *Desk) Stopping() bool { return d.stopping }
+// Draining tells whether RPCs that come are denied because the front end leaves.
+func (d *Dispatcher) Draining() bool { return d.stopping }
 
 // Conn is the handle of one client's connection.
 type Conn struct {
-	d    *Desk
+	d    *Dispatcher
 	gate *limits.Conn
-	open map[*Ask]bool
+	open map[*Request]bool
 	gone bool
 }
 
-// Open tells of a connection.
-func (d *Desk) Open(peer limits.PeerID) *Conn {
-	return &Conn{d: d, gate: d.gate.Open(peer), open: map[*Ask]bool{}}
+// OpenConn tells of a connection.
+func (d *Dispatcher) OpenConn(peer limits.PeerID) *Conn {
+	return &Conn{d: d, gate: d.gate.OpenConn(peer), open: map[*Request]bool{}}
 }
 
-// Len is the number of RPCs open on the connection.
-func (c *Conn) Len() int { return len(c.open) }
+// OpenRPCs is the number of RPCs open on the connection.
+func (c *Conn) OpenRPCs() int { return len(c.open) }
 
-// Leave tells that the client is gone: nothing is owed on this connection any more.
-func (c *Conn) Leave() {
+// Close tells that the client is gone: nothing is owed on this connection any more.
+func (c *Conn) Close() {
 	c.gone = true
 	for _, a := range c.inOrder() {
 		a.forget()
 		if a.work != nil && a.work.leave(a) {
-			a.work.rpc.Left()
+			a.work.rpc.ClientLeft()
 		}
 	}
 }
 
 // inOrder is what is open, in the order in which it came.
-func (c *Conn) inOrder() []*Ask {
-	all := make([]*Ask, 0, len(c.open))
+func (c *Conn) inOrder() []*Request {
+	all := make([]*Request, 0, len(c.open))
 	for a := range c.open {
 		all = append(all, a)
 	}
-	slices.SortFunc(all, func(a, b *Ask) int { return cmp.Compare(a.order, b.order) })
+	slices.SortFunc(all, func(a, b *Request) int { return cmp.Compare(a.order, b.order) })
 	return all
 }
 
-// Ask is the handle of one RPC as its client sees it.
-type Ask struct {
+// Request is the handle of one RPC as its client sees it.
+type Request struct {
 	c      *Conn
 	p      Params
-	reply  Reply
+	reply  Responder
 	order  uint64
 	until  router.Time // its client's time is up
 	ticket *limits.Ticket
@@ -216,17 +216,17 @@
 
 // work is one RPC at the engine and all who wait for its answer. It is the engine's Client.
 type work struct {
-	d     *Desk
+	d     *Dispatcher
 	rpc   *engine.RPC
-	lead  *Ask // whose ticket holds the place
-	group *repeats.Group[*Ask]
+	lead  *Request // whose ticket holds the place
+	group *repeats.SharedRPC[*Request]
 }
 
-// Take brings an RPC to the gate. Waited is how long ago it came in, which is taken off its time. The answer may be given
+// Submit brings an RPC to the gate. Waited is how long ago it came in, which is taken off its time. The answer may be given
 // before Take returns; the handle is then over.
-func (c *Conn) Take(p Params, waited router.Time, reply Reply) *Ask {
+func (c *Conn) Submit(p Params, waited router.Time, reply Responder) *Request {
 	d := c.d
-	a := &Ask{c: c, p: p, reply: reply}
+	a := &Request{c: c, p: p, reply: reply}
 	if c.gone {
 		return a
 	}
@@ -236,83 +236,83 @@
 	}
 	method := d.MethodAt(p.Method)
 	left := method.Deadline
-	if p.Time >= 0 {
-		left = min(left, router.Time(math.Min(p.Time*10, math.MaxInt32)))
+	if p.TimeoutMS >= 0 {
+		left = min(left, router.Time(math.Min(p.TimeoutMS*10, math.MaxInt32)))
 	}
 	a.until = d.now + left - waited
-	t, refused, displaced := c.gate.Arrive(d.now, p.Function, int64(len(p.Payload)+len(p.Blob)), method.Gain, a)
+	t, refused, displaced := c.gate.Enqueue(d.now, p.Function, int64(len(p.Payload)+len(p.Blob)), method.Gain, a)
 	if refused != nil {
-		reply.Denied(refused.Reason, refused.ComeBack)
+		reply.Denied(refused.Reason, refused.RetryAfter)
 		return a
 	}
 	if displaced != nil {
-		gives := displaced.Body.(*Ask)
+		gives := displaced.Value.(*Request)
 		gives.forget()
-		gives.reply.Denied("denied: an RPC of more gain took its place", d.gate.ComeBack())
+		gives.reply.Denied("denied: an RPC of more gain took its place", d.gate.RetryAfter())
 	}
 	d.order++
 	a.ticket, a.order = t, d.order
 	c.open[a] = true
-	d.timers.Set(&a.timer, a.until-d.o.Margin, func(router.Time) { a.expire() })
+	d.timers.Set(&a.timer, a.until-d.o.AnswerMargin, func(router.Time) { a.expire() })
 	return a
 }
 
-// Over tells whether the RPC is open no more.
-func (a *Ask) Over() bool { return !a.c.open[a] }
+// Finished tells whether the RPC is open no more.
+func (a *Request) Finished() bool { return !a.c.open[a] }
 
 // start hands the RPC to the engine, or has it join one at work, once it has passed the gate.
-func (a *Ask) start() {
+func (a *Request) start() {
 	d := a.c.d
 	d.timers.Stop(&a.timer)
-	if err := d.Check(&a.p); err != nil { // the settings changed while it waited
+	if err := d.Validate(&a.p); err != nil { // the settings changed while it waited
 		a.forget()
-		a.reply.Refused(err.Error())
+		a.reply.Rejected(err.Error())
 		return
 	}
 	method := d.MethodAt(a.p.Method)
 	w := &work{d: d, lead: a}
-	if method.Effect == router.Tokened && !d.o.Apart {
+	if method.Effect == router.Tokened && !d.o.NoJoin {
 		key := repeats.Key{Method: method.Name, Customer: a.p.Customer, Token: a.p.Token}
-		group, decision := d.repeats.Come(key, a.p.Function, a, a.p.Payload, a.p.Blob)
+		group, decision := d.repeats.Add(key, a.p.Function, a, a.p.Payload, a.p.Blob)
 		switch decision {
-		case repeats.Differs:
+		case repeats.Conflicting:
 			a.forget()
-			a.reply.Refused("an RPC of this token is open that asks for something else")
+			a.reply.Rejected("an RPC of this token is open that asks for something else")
 			return
 		case repeats.Joined:
 			a.work = d.works[group]
-			a.ticket.Held(false)
-			d.timers.Set(&a.timer, a.until-d.o.Margin, func(router.Time) { a.expire() })
+			a.ticket.SetHeld(false)
+			d.timers.Set(&a.timer, a.until-d.o.AnswerMargin, func(router.Time) { a.expire() })
 			return
 		}
 		w.group = group
 		d.works[group] = w
 	}
-	if other, meets := d.engine.Meets(a.p.Function); meets {
+	if other, meets := d.engine.IDCollision(a.p.Function); meets {
 		a.forget()
 		w.end()
-		a.reply.Refused(fmt.Sprintf("function %.80q has the id of function %.80q: rename one of them", a.p.Function, other))
+		a.reply.Rejected(fmt.Sprintf("function %.80q has the id of function %.80q: rename one of them", a.p.Function, other))
 		return
 	}
 	var client engine.Client = w
-	if d.o.Wrap != nil {
-		client = d.o.Wrap(w)
+	if d.o.WrapClient != nil {
+		client = d.o.WrapClient(w)
 	}
 	a.work = w
-	fn := a.p.Copy
+	fn := a.p.FunctionSpec
 	if fn == nil {
 		told := d.service.Load().function(a.p.Method, a.p.Function)
 		fn = &told
 	}
-	w.rpc = d.engine.Take(router.MethodID(a.p.Method), method, router.CustomerID(d.service.Load().customers[a.p.Customer]),
+	w.rpc = d.engine.Submit(router.MethodID(a.p.Method), method, router.CustomerID(d.service.Load().customers[a.p.Customer]),
 		a.p.Function, *fn, a.p.Token, a.until-d.now, a.p.Repeat, a.p.Payload, a.p.Blob, client)
-	w.rpc.Ticket = a.p.Ticket // what is sent is sent at the turn's end
+	w.rpc.ClientRPCID = a.p.ClientRPCID // what is sent is sent at the turn's end
 }
 
 // Cancel tells that the client wants no result any more, but its one answer.
-func (a *Ask) Cancel() {
+func (a *Request) Cancel() {
 	switch {
-	case a.Over():
+	case a.Finished():
 	case a.work == nil: // it waited at the gate, and never ran
 		a.forget()
 		a.reply.Denied("denied: cancelled", 0)
@@ -324,35 +324,35 @@
 	}
 }
 
-// Leave tells that the client wants nothing any more, not even an answer; others of its connection may.
-func (a *Ask) Leave() {
-	if a.Over() {
+// Abandon tells that the client wants nothing any more, not even an answer; others of its connection may.
+func (a *Request) Abandon() {
+	if a.Finished() {
 		return
 	}
 	a.forget()
 	if a.work != nil && a.work.leave(a) {
-		a.work.rpc.Left()
+		a.work.rpc.ClientLeft()
 	}
 }
 
 // expire: its time is up at the gate, or while another's work that it joined goes on.
-func (a *Ask) expire() {
+func (a *Request) expire() {
 	switch {
 	case a.work == nil:
 		a.forget()
-		a.reply.Denied("denied", a.c.d.gate.ComeBack())
+		a.reply.Denied("denied", a.c.d.gate.RetryAfter())
 	case a.work.leave(a):
 		a.part()
-		a.work.rpc.Left()
+		a.work.rpc.ClientLeft()
 	default:
 		a.part()
 	}
 }
 
 // part answers a client that stops waiting for work that may have run, or may run yet.
-func (a *Ask) part() {
+func (a *Request) part() {
 	a.forget()
-	if a.work.rpc.MayDeny() {
+	if a.work.rpc.RetryHarmless() {
 		a.reply.Denied("denied", 0)
 		return
 	}
@@ -360,33 +360,33 @@
 }
 
 // forget takes the RPC out of what is open.
-func (a *Ask) forget() {
+func (a *Request) forget() {
 	delete(a.c.open, a)
 	a.c.d.timers.Stop(&a.timer)
-	a.ticket.Done(a.c.d.now)
+	a.ticket.Release(a.c.d.now)
 }
 
 // leave takes a out of who waits; it tells whether nobody does any more.
-func (w *work) leave(a *Ask) (last bool) {
+func (w *work) leave(a *Request) (last bool) {
 	if w.group == nil {
 		return true
 	}
-	if last = w.group.Leave(a); last {
+	if last = w.group.Remove(a); last {
 		delete(w.d.works, w.group)
 	}
 	return last
 }
 
 // end returns who waits for the work, and forgets its group.
-func (w *work) end() []*Ask {
+func (w *work) end() []*Request {
 	if w.group == nil {
 		if w.lead.c.open[w.lead] {
-			return []*Ask{w.lead}
+			return []*Request{w.lead}
 		}
 		return nil
 	}
 	delete(w.d.works, w.group)
-	return w.group.Answer()
+	return w.group.Finish()
 }
 
 // OK implements engine.Client.
@@ -413,5 +413,5 @@
 	}
 }
 
-// Moved implements engine.Client.
-func (w *work) Moved(held bool) { w.lead.ticket.Held(held) }
+// HeldChanged implements engine.Client.
+func (w *work) HeldChanged(held bool) { w.lead.ticket.SetHeld(held) }
--- a/internal/gateway/configured.go
+++ b/internal/gateway/configured.go
@@ -36,16 +36,16 @@
 	now   atomic.Pointer[settings.FrontEnd]
 	loop  *turn.Loop
 	log   zerolog.Logger
-	steer *steer.Steer // nil: no control service
-	took  atomic.Int64 // ns of the turn that took the last version over
+	steer *steer.Client // nil: no control service
+	took  atomic.Int64  // ns of the turn that took the last version over
 
 	booted *settings.Configuration // of the kept version; nil: none
 
 	endSteer func()
 
 	e       *engine.Engine
-	desk    *front.Desk
-	fo      *follow.Follower
+	desk    *front.Dispatcher
+	fo      *follow.Watcher
 	srv     *clients.Server
 	ks      *kserve.Server
 	clients context.Context // ends with the clients' side
@@ -64,16 +64,16 @@
 		return c
 	}
 	o := c.steering()
-	b, ok := steer.Load(o)
+	b, ok := steer.LoadInitial(o)
 	if ok {
-		conf, next, err := c.read(b.Kept.Version, b.Kept.Text)
+		conf, next, err := c.read(b.Saved.Version, b.Saved.Text)
 		if err == nil {
 			c.booted = conf
 			c.now.Store(next)
-			log.Info().Uint64("version", b.Kept.Version).Dur("age", time.Since(b.Kept.Saved)).Msg("begins with the kept configuration")
+			log.Info().Uint64("version", b.Saved.Version).Dur("age", time.Since(b.Saved.SavedAt)).Msg("begins with the kept configuration")
 		} else {
-			log.Warn().Err(err).Uint64("version", b.Kept.Version).Msg("the kept configuration does not fit these settings: begins without")
-			b = steer.Boot{From: "own settings"}
+			log.Warn().Err(err).Uint64("version", b.Saved.Version).Msg("the kept configuration does not fit these settings: begins without")
+			b = steer.Initial{Source: "own settings"}
 		}
 	} else {
 		log.Info().Msg("no kept configuration: begins with its own settings")
@@ -84,9 +84,9 @@
 
 func (c *configured) steering() steer.Options {
 	at := c.own.Control
-	return steer.Options{Name: c.own.Name, Sockets: strings.Fields(at.Sockets), Keep: lastgood.Store{FS: lastgood.Disk{}, Path: at.Keep},
-		RedialMin: turn.Duration(at.RedialMin), RedialMax: turn.Duration(at.RedialMax), FiguresEvery: turn.Duration(at.Figures),
-		Figures: c.figures, Check: c.check, Log: c.log}
+	return steer.Options{Name: c.own.Name, Sockets: strings.Fields(at.Sockets), Store: lastgood.Store{FS: lastgood.Disk{}, Path: at.SavePath},
+		RedialMin: turn.ToDuration(at.RedialMin), RedialMax: turn.ToDuration(at.RedialMax), ReportInterval: turn.ToDuration(at.ReportInterval),
+		Counters: c.figures, Check: c.check, Log: c.log}
 }
 
 // read checks a version's text and gives the front end under it.
@@ -95,13 +95,13 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	next, err := c.own.With(conf, &c.now.Load().Service)
+	next, err := c.own.WithConfiguration(conf, &c.now.Load().Service)
 	return conf, next, err
 }
 
 // parts names what changes with a version, and follows the control service from now on.
 func (c *configured) parts(rest, clientSide context.Context, restGroup, frontGroup *errgroup.Group, e *engine.Engine,
-	desk *front.Desk, fo *follow.Follower, srv *clients.Server, ks *kserve.Server) {
+	desk *front.Dispatcher, fo *follow.Watcher, srv *clients.Server, ks *kserve.Server) {
 	c.e, c.desk, c.fo, c.srv, c.ks, c.clients, c.group = e, desk, fo, srv, ks, clientSide, frontGroup
 	if c.steer == nil {
 		return
@@ -150,7 +150,7 @@
 	var serve func() error
 	switch l.Front {
 	case "json-rpc":
-		serve = c.srv.More(c.clients, nl)
+		serve = c.srv.AddListener(c.clients, nl)
 	case "http":
 		serve = func() error { return c.ks.Serve(nl) }
 	default:
@@ -192,7 +192,7 @@
 	}
 	for _, g := range conf.Groups {
 		for _, w := range g.Workers {
-			o.Static = append(o.Static, follow.Static{Name: w.Name, Socket: w.Socket, Zone: g.Zone, Cell: g.Cell, Kind: g.Kind})
+			o.Static = append(o.Static, follow.StaticWorker{Name: w.Name, Socket: w.Socket, Zone: g.Zone, Cell: g.Cell, Kind: g.Kind})
 		}
 	}
 	return o
@@ -228,7 +228,7 @@
 	if !c.loop.Post(func() {
 		for _, g := range conf.Groups {
 			for _, w := range g.Workers {
-				if state := c.fo.StateOf(w.Name); state == "gone" || state == "draining" {
+				if state := c.fo.RosterState(w.Name); state == "gone" || state == "draining" {
 					bad <- w.Errorf("worker %q of group %q: the roster told that it is %s", w.Name, g.Name, state)
 					return
 				}
@@ -270,22 +270,22 @@
 // Apply implements steer.Change: one turn of the loop, in which nothing can fail any more.
 func (ch *change) Apply() error {
 	c, next := ch.c, ch.next
-	module, methods, customers := next.Module(), next.Service.EngineMethods(), next.Service.CustomerNames()
+	module, methods, customers := next.RouterSettings(), next.Service.EngineMethods(), next.Service.CustomerNames()
 	function, following := next.Service.FunctionFor(), c.following(next, ch.conf)
 	var models []kserve.Model
 	if c.ks != nil {
 		models = modelsOf(next)
 	}
-	prepared, service := router.Prepare(module), front.Prepare(methods, customers, function)
+	prepared, service := router.ParseSettings(module), front.NewService(methods, customers, function)
 	done := make(chan struct{})
 	if !c.loop.Post(func() {
 		begin := time.Now()
-		c.e.Renew(module, prepared, methods)
-		c.desk.Renew(service, next.Gate())
+		c.e.UpdateSettings(module, prepared, methods)
+		c.desk.UpdateSettings(service, next.LimitSettings())
 		if c.ks != nil {
-			c.ks.Renew(models)
+			c.ks.UpdateSettings(models)
 		}
-		c.fo.Renew(following)
+		c.fo.UpdateSettings(following)
 		c.now.Store(next)
 		c.took.Store(int64(time.Since(begin)))
 		close(done)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -39,42 +39,42 @@
 type machine struct {
 	*engine.Engine
 	links   *links.Set
-	desk    *front.Desk
+	desk    *front.Dispatcher
 	clients *clients.Server
 }
 
-// Begin begins a turn.
-func (m *machine) Begin(now router.Time) {
-	m.desk.Begin(now)
-	m.links.Begin(now)
-	m.Engine.Begin(now)
+// BeginTurn begins a turn.
+func (m *machine) BeginTurn(now router.Time) {
+	m.desk.BeginTurn(now)
+	m.links.BeginTurn(now)
+	m.Engine.BeginTurn(now)
 }
 
-// Due tells when a turn is wanted though nothing comes.
-func (m *machine) Due() (router.Time, bool) {
-	a, anyA := m.Engine.Due()
-	b, anyB := m.desk.Due()
+// NextDue tells when a turn is wanted though nothing comes.
+func (m *machine) NextDue() (router.Time, bool) {
+	a, anyA := m.Engine.NextDue()
+	b, anyB := m.desk.NextDue()
 	if anyA && (!anyB || a < b) {
 		b, anyB = a, true
 	}
-	if c, anyC := m.links.Due(); anyC && (!anyB || c < b) {
+	if c, anyC := m.links.NextDue(); anyC && (!anyB || c < b) {
 		return c, true
 	}
 	return b, anyB
 }
 
-// End ends a turn.
-func (m *machine) End() {
-	m.desk.Pump()
-	m.Engine.End()
-	m.links.Leave()
+// EndTurn ends a turn.
+func (m *machine) EndTurn() {
+	m.desk.Admit()
+	m.Engine.EndTurn()
+	m.links.SendDueBatches()
 	m.links.Flush()
 	m.clients.Flush()
 }
 
-// Outgoing changes what goes out of a front end. It is there for tests that must see a wrong front end caught; nil
+// OutputHooks changes what goes out of a front end. It is there for tests that must see a wrong front end caught; nil
 // members change nothing.
-type Outgoing struct {
+type OutputHooks struct {
 	Link   func(worker string, l engine.Link) engine.Link
 	Client func(c engine.Client) engine.Client
 	Answer func(value []byte) []byte
@@ -83,11 +83,11 @@
 // Serve runs a front end until the context ends, and then takes no more RPCs, answers those that it holds, and
 // leaves: within the settings' time after the end. Ready is called once RPCs are taken.
 func Serve(ctx context.Context, f *settings.FrontEnd, log zerolog.Logger, ready func()) error {
-	return ServeWith(ctx, f, log, ready, Outgoing{})
+	return ServeWithHooks(ctx, f, log, ready, OutputHooks{})
 }
 
-// ServeWith is Serve with what goes out changed.
-func ServeWith(ctx context.Context, f *settings.FrontEnd, log zerolog.Logger, ready func(), o Outgoing) error {
+// ServeWithHooks is Serve with what goes out changed.
+func ServeWithHooks(ctx context.Context, f *settings.FrontEnd, log zerolog.Logger, ready func(), o OutputHooks) error {
 	log = log.With().Str("front_end", f.Name).Logger()
 	mode, err := strconv.ParseUint(f.Clients.Mode, 8, 32)
 	if err != nil {
@@ -109,7 +109,7 @@
 	}
 	if f.Clients.HandOver != "" {
 		var ls []handover.Listener
-		ls, confirm, err = handover.Take(f.Clients.HandOver)
+		ls, confirm, err = handover.Request(f.Clients.HandOver)
 		if err == nil {
 			u, is := ls[0].(*net.UnixListener)
 			if want := 1 + len(places(f)); !is || len(ls) != want {
@@ -133,13 +133,13 @@
 }
 
 func serve(ctx context.Context, own *settings.FrontEnd, log zerolog.Logger, listener *net.UnixListener,
-	more []handover.Listener, confirm func() error, ready func(), o Outgoing) error {
+	more []handover.Listener, confirm func() error, ready func(), o OutputHooks) error {
 	loop := turn.NewLoop()
 	cf := newConfigured(own, loop, log)
 	f := cf.now.Load()
-	e := engine.New(engine.Options{Settings: f.Module(), Seed: f.Seed, Now: loop.Now(), Margin: f.Clients.Margin,
-		CallOff: f.Clients.CallOff,
-		Log:     func(text string) { log.Info().Str("from", "module").Msg(text) }})
+	e := engine.New(engine.Options{Settings: f.RouterSettings(), Seed: f.Seed, Now: loop.Now(), AnswerMargin: f.Clients.Margin,
+		CancelWait: f.Clients.CallOff,
+		Log:        func(text string) { log.Info().Str("from", "module").Msg(text) }})
 
 	// parts end in turn: first the clients' side, once all is answered, then the rest, last the loop
 	rest, endRest := context.WithCancel(context.Background())
@@ -150,22 +150,22 @@
 	defer endLoop()
 
 	ls := links.New(rest, loop, e, links.Options{FrontEnd: f.Name,
-		ConnectTimeOut: turn.Duration(f.Service.CallOuts.ConnectTimeOut), ValueBytes: f.Workers.ValueBytes,
-		SendBytes: f.Workers.SendBytes, RedialMin: turn.Duration(f.Workers.RedialMin),
-		RedialMax: turn.Duration(f.Workers.RedialMax), Wrap: o.Link, Log: log})
+		ConnectTimeout: turn.ToDuration(f.Service.CallOuts.ConnectTimeOut), ValueBytes: f.Workers.ValueBytes,
+		QueuedBytes: f.Workers.SendBytes, RedialMin: turn.ToDuration(f.Workers.RedialMin),
+		RedialMax: turn.ToDuration(f.Workers.RedialMax), WrapLink: o.Link, Log: log})
 	fo := follow.New(loop, e, ls, cf.following(f, cf.booted))
-	desk := front.NewDesk(e, front.Options{Methods: f.Service.EngineMethods(), Customers: f.Service.CustomerNames(),
-		Function: f.Service.FunctionFor(), Margin: f.Clients.Margin, Gate: f.Gate(), Wrap: o.Client})
+	desk := front.New(e, front.Options{Methods: f.Service.EngineMethods(), Customers: f.Service.CustomerNames(),
+		FunctionSpec: f.Service.FunctionFor(), AnswerMargin: f.Clients.Margin, Limits: f.LimitSettings(), WrapClient: o.Client})
 	srv := clients.New(loop, desk, clients.Options{
-		Limits: clients.Limits{Connections: f.Clients.Connections, Open: f.Clients.Open,
+		Limits: clients.Limits{Connections: f.Clients.Connections, OpenRPCs: f.Clients.Open,
 			ValueBytes: f.Clients.ValueBytes, AnswerBytes: f.Clients.AnswerBytes,
-			WriteTimeOut: turn.Duration(f.Clients.WriteTimeOut)},
-		Answer: o.Answer, Allow: allow(f), Status: func() []byte { return status(f, e, desk, cf) }, Log: log})
+			WriteTimeout: turn.ToDuration(f.Clients.WriteTimeOut)},
+		RewriteAnswer: o.Answer, Allow: allow(f), Status: func() []byte { return status(f, e, desk, cf) }, Log: log})
 
 	var loopGroup, restGroup, frontGroup errgroup.Group
 	loopGroup.Go(func() error { loop.Run(loopCtx, &machine{e, ls, desk, srv}); return nil })
 	restGroup.Go(func() error { return fo.Run(rest) })
-	restGroup.Go(func() error { return fo.Keep(rest) })
+	restGroup.Go(func() error { return fo.WriteCache(rest) })
 	failed := make(chan error, 6)
 	frontGroup.Go(func() error {
 		err := srv.Serve(clientSide, listener)
@@ -186,7 +186,7 @@
 
 	var handed <-chan struct{}
 	if err == nil {
-		handed, err = handOver(rest, &restGroup, f, listener, more, confirm, fo.Told())
+		handed, err = handOver(rest, &restGroup, f, listener, more, confirm, fo.ListReceived())
 	}
 	if err == nil {
 		select {
@@ -202,11 +202,11 @@
 	select {
 	case <-handed:
 		isHanded = true
-		srv.CloseReads() // what was sent by now is taken
+		srv.CloseRead() // what was sent by now is taken
 	default:
 		listener.Close()
 	}
-	within := turn.Duration(cf.now.Load().Stop.Within)
+	within := turn.ToDuration(cf.now.Load().Stop.Within)
 	deadline := time.After(within)
 	open := make(chan int, 1)
 	left := -1
@@ -231,7 +231,7 @@
 	loop.Post(func() { counts <- e.Counts() })
 	c := <-counts
 	// what was sent by now is read, and denied; what comes later can't be sent
-	srv.CloseReads()
+	srv.CloseRead()
 	if ks != nil {
 		last, end := context.WithTimeout(context.Background(), within)
 		ks.Drain(last)
@@ -258,14 +258,14 @@
 
 // serveKServe runs the second front, where the settings have one.
 func serveKServe(ctx context.Context, taken []handover.Listener, f *settings.FrontEnd, rest, group *errgroup.Group, loop *turn.Loop,
-	desk *front.Desk, e *engine.Engine, fo *follow.Follower, failed chan<- error, log zerolog.Logger) (*kserve.Server,
+	desk *front.Dispatcher, e *engine.Engine, fo *follow.Watcher, failed chan<- error, log zerolog.Logger) (*kserve.Server,
 	[]handover.Listener, error) {
 	k := f.KServe
 	if k == nil {
 		return nil, nil, nil
 	}
 	o := kserve.Options{Name: f.Name, BodyBytes: k.BodyBytes, TimeHeader: k.TimeHeader,
-		CustomerHeader: k.CustomerHeader, TokenHeader: k.TokenHeader, Ready: fo.Ready, Halted: e.Halted, Log: log}
+		CustomerHeader: k.CustomerHeader, TokenHeader: k.TokenHeader, Ready: fo.Ready, Halted: e.LoadsHalted, Log: log}
 	o.Models = modelsOf(f)
 	if k.TLS != nil {
 		store, err := keys.Open(keys.Files{Cert: k.TLS.Cert, Key: k.TLS.Key, ClientCA: k.TLS.ClientCA}, log)
@@ -273,7 +273,7 @@
 			return nil, nil, k.TLS.Errorf("%v", err)
 		}
 		rest.Go(func() error {
-			store.Watch(ctx, turn.Duration(k.TLS.Reload), time.Duration(k.TLS.WarnDays*24*float64(time.Hour)))
+			store.Watch(ctx, turn.ToDuration(k.TLS.Reload), time.Duration(k.TLS.WarnDays*24*float64(time.Hour)))
 			return nil
 		})
 		o.Keys = store
@@ -396,7 +396,7 @@
 	return handed, nil
 }
 
-func allow(f *settings.FrontEnd) (list access.List) {
+func allow(f *settings.FrontEnd) (list access.Rules) {
 	for _, a := range f.Clients.Allow {
 		list = append(list, access.Rule{UID: a.UID, GID: a.GID, Methods: strings.Fields(a.Methods),
 			Customers: strings.Fields(a.Customers)})
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -340,7 +340,7 @@
 		if a.Result.Config == nil {
 			return fmt.Errorf("no configuration in %s", raw)
 		}
-		last = fmt.Sprintf("%d %s", a.Result.Config.Version, strings.Fields(a.Result.Config.From)[0])
+		last = fmt.Sprintf("%d %s", a.Result.Config.Version, strings.Fields(a.Result.Config.Source)[0])
 		if last == version+" "+from {
 			return nil
 		}
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -87,9 +87,9 @@
 // most is how many listeners a process may pass.
 const most = 16
 
-// Take asks the process at path for its listeners. Confirm tells it that this one serves, and returns once the old
+// Request asks the process at path for its listeners. Confirm tells it that this one serves, and returns once the old
 // one accepts no more. An error of kind os.ErrNotExist or ECONNREFUSED: nobody is there to ask.
-func Take(path string) (ls []Listener, confirm func() error, err error) {
+func Request(path string) (ls []Listener, confirm func() error, err error) {
 	dialled, err := net.DialTimeout("unix", path, patience)
 	if err != nil {
 		return nil, nil, err
--- a/internal/hop/hop.go
+++ b/internal/hop/hop.go
@@ -23,11 +23,11 @@
 	interimes = 8 // 1xx answers in front of the final one
 )
 
-// ErrUnsent: what was asked did not leave whole, so it never ran.
-var ErrUnsent = errors.New("not sent whole")
+// ErrNotSent: what was asked did not leave whole, so it never ran.
+var ErrNotSent = errors.New("not sent whole")
 
-// ErrSpoilt: an answer came that can't be read, is not whole, or has no end.
-var ErrSpoilt = errors.New("spoilt answer")
+// ErrBadAnswer: an answer came that can't be read, is not whole, or has no end.
+var ErrBadAnswer = errors.New("spoilt answer")
 
 // Conn is a connection. One exchange at a time.
 type Conn struct {
@@ -40,7 +40,7 @@
 // Answer is a whole one.
 type Answer struct {
 	Status int
-	Head   http.Header
+	Header http.Header
 	Body   []byte
 }
 
@@ -65,20 +65,20 @@
 // Close ends the connection; any goroutine may.
 func (c *Conn) Close() { c.nc.Close() }
 
-// Clean tells whether the connection may be used again: it stands, and nothing came on it that nobody asked for. It
+// Reusable tells whether the connection may be used again: it stands, and nothing came on it that nobody asked for. It
 // doesn't wait.
-func (c *Conn) Clean() bool {
-	return c.in.Buffered() == 0 && sock.Quiet(c.raw)
+func (c *Conn) Reusable() bool {
+	return c.in.Buffered() == 0 && sock.IsIdle(c.raw)
 }
 
-// Offer writes what the socket takes of a message at once and tells how many bytes that were. It doesn't wait, so that
+// WriteNow writes what the socket takes of a message at once and tells how many bytes that were. It doesn't wait, so that
 // it may be called under a lock. Exchange has to follow with the rest, also where none is left.
-func (c *Conn) Offer(message []byte, by time.Time) (n int, err error) {
+func (c *Conn) WriteNow(message []byte, by time.Time) (n int, err error) {
 	if err := c.nc.SetDeadline(by); err != nil {
-		return 0, fmt.Errorf("%w: %w", ErrUnsent, err)
+		return 0, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	if n, err = sock.Write(c.raw, message); err != nil {
-		return 0, fmt.Errorf("%w: %w", ErrUnsent, err)
+	if n, err = sock.TryWrite(c.raw, message); err != nil {
+		return 0, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	return n, nil
 }
@@ -87,11 +87,11 @@
 // an error the connection is of no further use; again tells whether it is after an answer.
 func (c *Conn) Exchange(message []byte, by time.Time, bodyMost int64) (a Answer, again bool, err error) {
 	if err := c.nc.SetDeadline(by); err != nil {
-		return a, false, fmt.Errorf("%w: %w", ErrUnsent, err)
+		return a, false, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	if len(message) > 0 {
 		if _, err := c.nc.Write(message); err != nil {
-			return a, false, fmt.Errorf("%w: %w", ErrUnsent, err)
+			return a, false, fmt.Errorf("%w: %w", ErrNotSent, err)
 		}
 	}
 	var resp *http.Response
@@ -108,12 +108,12 @@
 			break
 		}
 		if i >= interimes || resp.StatusCode == http.StatusSwitchingProtocols {
-			return a, false, fmt.Errorf("%w: status %d", ErrSpoilt, resp.StatusCode)
+			return a, false, fmt.Errorf("%w: status %d", ErrBadAnswer, resp.StatusCode)
 		}
 	}
 	chunked := len(resp.TransferEncoding) > 0
 	if resp.ContentLength > bodyMost || resp.ContentLength < 0 && !chunked {
-		return a, false, fmt.Errorf("%w: a body of %d bytes, %d are taken", ErrSpoilt, resp.ContentLength, bodyMost)
+		return a, false, fmt.Errorf("%w: a body of %d bytes, %d are taken", ErrBadAnswer, resp.ContentLength, bodyMost)
 	}
 	c.limit.N = bodyMost + headMost // chunks have heads, too
 	body, err := io.ReadAll(io.LimitReader(resp.Body, bodyMost+1))
@@ -121,7 +121,7 @@
 		return a, false, c.readError(err)
 	}
 	if int64(len(body)) > bodyMost {
-		return a, false, fmt.Errorf("%w: a body of more than %d bytes", ErrSpoilt, bodyMost)
+		return a, false, fmt.Errorf("%w: a body of more than %d bytes", ErrBadAnswer, bodyMost)
 	}
 	return Answer{resp.StatusCode, resp.Header, body}, c.in.Buffered() == 0 && !resp.Close, nil
 }
@@ -133,9 +133,9 @@
 	case errors.As(err, &op): // a reset, a close of our own, or the deadline
 		return err
 	case c.limit.N <= 0:
-		return fmt.Errorf("%w: a head or body without end", ErrSpoilt)
+		return fmt.Errorf("%w: a head or body without end", ErrBadAnswer)
 	case errors.Is(err, io.EOF):
 		return err
 	}
-	return fmt.Errorf("%w: %w", ErrSpoilt, err)
+	return fmt.Errorf("%w: %w", ErrBadAnswer, err)
 }
--- a/internal/hop/hop_test.go
+++ b/internal/hop/hop_test.go
@@ -66,7 +66,7 @@
 		if (err != nil) != c.bad || string(a.Body) != c.body || again != c.again {
 			t.Errorf("%s: body %q, again %t, error %v", c.name, a.Body, again, err)
 		}
-		if errors.Is(err, ErrUnsent) {
+		if errors.Is(err, ErrNotSent) {
 			t.Errorf("%s: it was sent: %v", c.name, err)
 		}
 	}
--- a/internal/httplink/httplink.go
+++ b/internal/httplink/httplink.go
@@ -44,12 +44,12 @@
 
 // Options are the settings of all links of a front end.
 type Options struct {
-	ConnectTimeOut time.Duration
-	OrderTimeOut   time.Duration // an order without an answer by then is given up
-	Idle           time.Duration // workers close connections idle for so long; we do in half that time
-	PauseMost      time.Duration // nothing that was decided before a longer pause of the process begins; 0: pauses do not matter
-	Connections    int           // to all workers at once, idle ones included
-	Values         []string      // the figures of a load report, in our words, by their places
+	ConnectTimeout time.Duration
+	OrderTimeout   time.Duration // an order without an answer by then is given up
+	IdleTimeout    time.Duration // workers close connections idle for so long; we do in half that time
+	MaxPause       time.Duration // nothing that was decided before a longer pause of the process begins; 0: pauses do not matter
+	MaxConnections int           // to all workers at once, idle ones included
+	ReportValues   []string      // the figures of a load report, in our words, by their places
 	Dialer         Dialer        // nil: hop's
 	Log            zerolog.Logger
 }
@@ -65,8 +65,8 @@
 	return hop.Dial(ctx, address, within)
 }
 
-// Set has a front end's links. Its methods are for turns of the loop alone.
-type Set struct {
+// LinkSet has a front end's links. Its methods are for turns of the loop alone.
+type LinkSet struct {
 	o      Options
 	loop   *turn.Loop
 	engine *engine.Engine
@@ -79,15 +79,15 @@
 }
 
 // New makes a set.
-func New(loop *turn.Loop, e *engine.Engine, o Options) *Set {
-	s := &Set{loop: loop, engine: e, links: map[string]*Link{}}
-	s.Renew(o)
+func New(loop *turn.Loop, e *engine.Engine, o Options) *LinkSet {
+	s := &LinkSet{loop: loop, engine: e, links: map[string]*Link{}}
+	s.UpdateSettings(o)
 	return s
 }
 
 // Link is the way to one worker. All but what exchanges do belongs to the loop's goroutine.
 type Link struct {
-	s       *Set
+	s       *LinkSet
 	name    string
 	address string
 	id      router.WorkerID
@@ -102,22 +102,22 @@
 	since time.Time
 }
 
-// Want has a link to the worker at an address; id is the worker's at the engine.
-func (s *Set) Want(name, address string, id router.WorkerID) {
+// Add has a link to the worker at an address; id is the worker's at the engine.
+func (s *LinkSet) Add(name, address string, id router.WorkerID) {
 	l := s.links[name]
 	if l != nil && l.address == address {
 		return
 	}
-	s.Unwant(name)
+	s.Remove(name)
 	l = &Link{s: s, name: name, address: address, id: id, out: map[engine.CallOutID]*exchange{},
 		all: map[*exchange]bool{}}
 	s.links[name] = l
-	s.engine.Connect(name, l)
+	s.engine.SetLink(name, l)
 }
 
-// Unwant lets go of a link: nothing more is sent on it; what is out may still end, or be called off. What waits for its
+// Remove lets go of a link: nothing more is sent on it; what is out may still end, or be called off. What waits for its
 // connection is given up: one that came up late would carry an RPC or an order past the grace of the worker's drain.
-func (s *Set) Unwant(name string) {
+func (s *LinkSet) Remove(name string) {
 	if l := s.links[name]; l != nil {
 		l.gone = true
 		delete(s.links, name)
@@ -128,27 +128,27 @@
 	}
 }
 
-// Renew takes new settings.
-func (s *Set) Renew(o Options) {
+// UpdateSettings takes new settings.
+func (s *LinkSet) UpdateSettings(o Options) {
 	if s.o = o; o.Dialer == nil {
 		s.o.Dialer = dialer{}
 	}
 }
 
-// View tells for each link what is out on it and how many connections are idle; see router.Router's.
-func (s *Set) View() string {
+// Describe tells for each link what is out on it and how many connections are idle; see router.Router's.
+func (s *LinkSet) Describe() string {
 	var b strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(s.links)) {
 		l := s.links[name]
 		fmt.Fprintf(&b, " %d:%d/%d", l.id, len(l.out), len(l.idle))
 	}
-	return fmt.Sprintf("connections %d of %d;%s", s.conns, s.o.Connections, b.String())
+	return fmt.Sprintf("connections %d of %d;%s", s.conns, s.o.MaxConnections, b.String())
 }
 
-// Begin notes pauses of the process, and looks after idle connections.
-func (s *Set) Begin() {
+// BeginTurn notes pauses of the process, and looks after idle connections.
+func (s *LinkSet) BeginTurn() {
 	turnAt := s.loop.Now()
-	if s.paused(turnAt, s.o.PauseMost) {
+	if s.paused(turnAt, s.o.MaxPause) {
 		s.wokeAt.Store(int64(turnAt))
 	}
 	s.lastTurn.Store(int64(turnAt))
@@ -158,19 +158,19 @@
 	}
 	s.looked = now
 	for _, l := range s.links {
-		l.closeIdle(now.Add(-s.o.Idle / 2))
+		l.closeIdle(now.Add(-s.o.IdleTimeout / 2))
 	}
 }
 
 // paused: no turn came for longer than most; with 0 none counts as a pause. Nobody knows what the list of workers has told
 // meanwhile. Any goroutine may ask.
-func (s *Set) paused(now router.Time, most time.Duration) bool {
+func (s *LinkSet) paused(now router.Time, most time.Duration) bool {
 	last := router.Time(s.lastTurn.Load())
-	return most > 0 && last > 0 && now-last > turn.Span(most)
+	return most > 0 && last > 0 && now-last > turn.FromDuration(most)
 }
 
 // Close closes all idle connections: the front end ends.
-func (s *Set) Close() {
+func (s *LinkSet) Close() {
 	for _, l := range s.links {
 		l.closeIdle(time.Now())
 	}
@@ -180,7 +180,7 @@
 func (l *Link) closeIdle(before time.Time) {
 	kept := l.idle[:0]
 	for _, c := range l.idle {
-		if c.since.Before(before) || !c.conn.Clean() {
+		if c.since.Before(before) || !c.conn.Reusable() {
 			l.drop(c.conn)
 			continue
 		}
@@ -204,7 +204,7 @@
 			continue
 		}
 		l.idle = append(l.idle[:i], l.idle[i+1:]...)
-		if c.conn.Clean() {
+		if c.conn.Reusable() {
 			return c.conn
 		}
 		l.drop(c.conn)
@@ -213,8 +213,8 @@
 }
 
 // room tells whether one more connection may be made; idle ones of any worker give way.
-func (s *Set) room() bool {
-	for s.conns >= s.o.Connections {
+func (s *LinkSet) room() bool {
+	for s.conns >= s.o.MaxConnections {
 		var oldest *Link
 		for _, l := range s.links {
 			if len(l.idle) > 0 && (oldest == nil || l.idle[0].since.Before(oldest.idle[0].since)) {
@@ -265,7 +265,7 @@
 	conn := l.take()
 	if conn == nil {
 		if l.gone || !l.s.room() {
-			l.s.loop.Post(func() { ended(end{err: hop.ErrUnsent, local: true}) })
+			l.s.loop.Post(func() { ended(end{err: hop.ErrNotSent, local: true}) })
 			return x
 		}
 		l.s.conns++
@@ -289,7 +289,7 @@
 	x.cancel()
 	if ev := x.o.Log.Debug(); ev != nil {
 		ev.Str("worker", x.l.name).Str("what", x.what).Int("status", a.Status).AnErr("error", err).
-			Str("remark", a.Head.Get("X-Remark")).Str("company", a.Head.Get("X-Company")).Str("meter", a.Head.Get("X-Meter")).
+			Str("remark", a.Header.Get("X-Remark")).Str("company", a.Header.Get("X-Company")).Str("meter", a.Header.Get("X-Meter")).
 			Dur("took", time.Since(began)).Msg("exchange")
 	}
 	x.l.s.loop.Post(func() {
@@ -316,7 +316,7 @@
 func (x *exchange) try(conn *hop.Conn) (a hop.Answer, used *hop.Conn, again bool, err error) {
 	for left := connsMost; ; left-- {
 		if conn == nil {
-			conn, err = x.o.Dialer.Dial(x.ctx, x.l.address, min(x.o.ConnectTimeOut, time.Until(x.by)))
+			conn, err = x.o.Dialer.Dial(x.ctx, x.l.address, min(x.o.ConnectTimeout, time.Until(x.by)))
 			if errors.Is(err, syscall.ECONNRESET) && left > 0 { // it came up, and broke
 				continue
 			}
@@ -324,14 +324,14 @@
 				err = errors.Join(errUnwanted, err)
 			}
 			if err != nil {
-				return a, nil, false, errors.Join(hop.ErrUnsent, err)
+				return a, nil, false, errors.Join(hop.ErrNotSent, err)
 			}
 		}
 		var n int
 		if n, err = x.begin(conn); err == nil {
 			a, again, err = conn.Exchange(x.message[n:], x.by, bodyMost)
 		}
-		if !errors.Is(err, hop.ErrUnsent) || errors.Is(err, errUnwanted) || errors.Is(err, errLapsed) || left == 0 {
+		if !errors.Is(err, hop.ErrNotSent) || errors.Is(err, errUnwanted) || errors.Is(err, errLapsed) || left == 0 {
 			return a, conn, again, err
 		}
 		conn.Close()
@@ -348,14 +348,14 @@
 	defer x.mu.Unlock()
 	x.conn = c
 	if x.over || !time.Now().Before(x.by) {
-		return 0, errors.Join(hop.ErrUnsent, errUnwanted)
+		return 0, errors.Join(hop.ErrNotSent, errUnwanted)
 	}
 	// Here and not where it was decided: a connection may come up late, and the process may have stood still since.
 	if x.lapsed() {
-		return 0, errors.Join(hop.ErrUnsent, errLapsed)
+		return 0, errors.Join(hop.ErrNotSent, errLapsed)
 	}
 	x.begun = true
-	return c.Offer(x.message, x.by)
+	return c.WriteNow(x.message, x.by)
 }
 
 // lapsed: it is too late to begin, or the process stood still since that was decided. What may begin at any time does.
@@ -364,7 +364,7 @@
 		return false
 	}
 	now := x.l.s.loop.Now()
-	return now > x.beginBy || x.l.s.paused(now, x.o.PauseMost) || x.decided < router.Time(x.l.s.wokeAt.Load())
+	return now > x.beginBy || x.l.s.paused(now, x.o.MaxPause) || x.decided < router.Time(x.l.s.wokeAt.Load())
 }
 
 // giveUp closes the connection: that is how a worker is told. Nothing begins any more.
@@ -391,19 +391,19 @@
 	var op net.Error
 	switch {
 	case errors.Is(e.err, errLapsed):
-		return router.Moot
-	case e.local, errors.Is(e.err, hop.ErrUnsent) && errors.Is(e.err, syscall.ECONNRESET): // connections came up, and broke
+		return router.NotSent
+	case e.local, errors.Is(e.err, hop.ErrNotSent) && errors.Is(e.err, syscall.ECONNRESET): // connections came up, and broke
 		return router.Full
-	case errors.Is(e.err, hop.ErrUnsent):
+	case errors.Is(e.err, hop.ErrNotSent):
 		return router.ConnectFailed
-	case errors.Is(e.err, hop.ErrSpoilt): // it tells of the way, not of the function; it has run
+	case errors.Is(e.err, hop.ErrBadAnswer): // it tells of the way, not of the function; it has run
 		return router.Reset
 	case errors.As(e.err, &op) && op.Timeout():
 		return router.TimedOut
 	case errors.Is(e.err, io.EOF), errors.Is(e.err, syscall.ECONNRESET), errors.Is(e.err, syscall.EPIPE):
 		return router.Reset
 	case errors.Is(e.err, net.ErrClosed):
-		return router.CalledOff
+		return router.Cancelled
 	}
 	return router.Errored
 }
@@ -417,7 +417,7 @@
 	}
 	b = append(append(append(b, verb...), path...), p.Method.Name...)
 	b = l.host(b)
-	b = append(append(b, "\r\nX-Ticket: "...), p.Ticket...)
+	b = append(append(b, "\r\nX-Ticket: "...), p.ClientRPCID...)
 	b = append(append(b, "\r\nX-Ref: "...), p.Function...)
 	b = strconv.AppendInt(append(b, "\r\nX-Max-Ms: "...), max(1, int64(left/10)), 10)
 	if p.Token != "" {
@@ -427,10 +427,10 @@
 		b = strconv.AppendInt(append(b, "\r\nContent-Length: "...), int64(len(p.Blob)), 10)
 	}
 	b = append(append(b, "\r\n\r\n"...), p.Blob...)
-	l.out[id] = l.start(p.Ticket, b, turn.Duration(left), by, func(e end) {
+	l.out[id] = l.start(p.ClientRPCID, b, turn.ToDuration(left), by, func(e end) {
 		delete(l.out, id)
 		if e.err != nil {
-			l.s.engine.Answered(id, l.id, e.outcome(), router.Untold, 0, nil, []byte(e.err.Error()), nil)
+			l.s.engine.CallOutEnded(id, l.id, e.outcome(), router.WarmthUnknown, 0, nil, []byte(e.err.Error()), nil)
 			return
 		}
 		o, warmth := answered(e)
@@ -440,11 +440,11 @@
 		} else {
 			cause = strconv.AppendInt([]byte("worker "+l.name+" answers "), int64(e.Status), 10)
 		}
-		crowd, err := strconv.Atoi(e.Head.Get("X-Company"))
+		crowd, err := strconv.Atoi(e.Header.Get("X-Company"))
 		if err != nil || crowd < 0 || crowd > math.MaxInt16 {
 			crowd = 0
 		}
-		l.s.engine.Answered(id, l.id, o, warmth, crowd, l.s.report(e.Head.Get("X-Meter")), cause, body)
+		l.s.engine.CallOutEnded(id, l.id, o, warmth, crowd, l.s.report(e.Header.Get("X-Meter")), cause, body)
 	})
 }
 
@@ -454,13 +454,13 @@
 
 // answered tells what an answer's status and note mean.
 func answered(e end) (router.Outcome, router.Warmth) {
-	notRun := e.Head.Get("X-Shed") == "1"
-	warmth := router.Untold
-	switch e.Head.Get("X-Remark") {
+	notRun := e.Header.Get("X-Shed") == "1"
+	warmth := router.WarmthUnknown
+	switch e.Header.Get("X-Remark") {
 	case "warm":
-		warmth = router.StoodWarm
+		warmth = router.AlreadyWarm
 	case "cold":
-		warmth = router.BeganLoad
+		warmth = router.StartedLoad
 	case "joined":
 		warmth = router.JoinedLoad
 	case "load_failed":
@@ -470,26 +470,26 @@
 	case e.Status == http.StatusOK:
 		return router.OK, warmth
 	case e.Status == http.StatusNotFound:
-		return router.Missed, warmth
+		return router.NotLoaded, warmth
 	case e.Status == http.StatusServiceUnavailable && notRun:
 		return router.Full, warmth
 	case e.Status == http.StatusGatewayTimeout && notRun:
-		return router.Moot, warmth
+		return router.NotSent, warmth
 	}
 	return router.Errored, warmth
 }
 
 // report reads a load report: the figures of the settings, by their places; nil where one can't be read.
-func (s *Set) report(meter string) []float64 {
-	if meter == "" || len(s.o.Values) == 0 {
+func (s *LinkSet) report(meter string) []float64 {
+	if meter == "" || len(s.o.ReportValues) == 0 {
 		return nil
 	}
-	out, found := make([]float64, len(s.o.Values)), 0
+	out, found := make([]float64, len(s.o.ReportValues)), 0
 	for field := range strings.SplitSeq(meter, ";") {
 		name, value, _ := strings.Cut(field, ":")
 		v, err := strconv.ParseFloat(value, 64)
-		for i, known := range s.o.Values {
-			if err == nil && known == site.Ours(name) && !math.IsNaN(v) && !math.IsInf(v, 0) {
+		for i, known := range s.o.ReportValues {
+			if err == nil && known == site.Translate(name) && !math.IsNaN(v) && !math.IsInf(v, 0) {
 				out[i] = v
 				found++
 			}
@@ -501,45 +501,45 @@
 	return out
 }
 
-// CallOff implements engine.Link.
-func (l *Link) CallOff(id engine.CallOutID) {
+// CancelCallOut implements engine.Link.
+func (l *Link) CancelCallOut(id engine.CallOutID) {
 	if x := l.out[id]; x != nil {
 		x.giveUp()
 	}
 }
 
-// Unhold implements engine.Link: an order stands even if its connection ends, so there is nobody to tell.
-func (l *Link) Unhold(engine.OrderID) {}
+// CancelLoadOrder implements engine.Link: an order stands even if its connection ends, so there is nobody to tell.
+func (l *Link) CancelLoadOrder(engine.OrderID) {}
 
-// Hold implements engine.Link.
-func (l *Link) Hold(id engine.OrderID, function string, _ engine.Function, copies int, by router.Time) {
+// OrderLoad implements engine.Link.
+func (l *Link) OrderLoad(id engine.OrderID, function string, _ engine.FunctionSpec, copies int, by router.Time) {
 	b := append(append([]byte("PUT "+path), function...), '/')
 	b = append(l.host(strconv.AppendInt(b, int64(copies), 10)), "\r\n\r\n"...)
-	l.start("order of "+function, b, l.s.o.OrderTimeOut, by, func(e end) {
+	l.start("order of "+function, b, l.s.o.OrderTimeout, by, func(e end) {
 		if e.err != nil {
-			l.s.engine.Held(id, e.outcome(), 0)
+			l.s.engine.LoadOrderEnded(id, e.outcome(), 0)
 			return
 		}
-		n, err := strconv.Atoi(e.Head.Get("X-Slots-Up"))
+		n, err := strconv.Atoi(e.Header.Get("X-Slots-Up"))
 		if err != nil || n < 0 || n > math.MaxInt16 {
 			n = 0
 		}
 		o, _ := answered(e)
-		l.s.engine.Held(id, o, n)
+		l.s.engine.LoadOrderEnded(id, o, n)
 	})
 }
 
 // Check implements engine.Link.
 func (l *Link) Check(id engine.CheckID) {
 	b := append(l.host([]byte("GET /-/gauges")), "\r\n\r\n"...)
-	l.start("check", b, l.s.o.ConnectTimeOut, math.MaxInt64, func(e end) {
+	l.start("check", b, l.s.o.ConnectTimeout, math.MaxInt64, func(e end) {
 		switch {
 		case e.err != nil:
-			l.s.engine.Checked(id, e.outcome(), nil)
+			l.s.engine.CheckEnded(id, e.outcome(), nil)
 		case e.Status != http.StatusOK:
-			l.s.engine.Checked(id, router.Errored, nil)
+			l.s.engine.CheckEnded(id, router.Errored, nil)
 		default:
-			l.s.engine.Checked(id, router.OK, l.s.report(e.Head.Get("X-Meter")))
+			l.s.engine.CheckEnded(id, router.OK, l.s.report(e.Header.Get("X-Meter")))
 		}
 	})
 }
--- a/internal/httplink/httplink_test.go
+++ b/internal/httplink/httplink_test.go
@@ -24,14 +24,14 @@
 // machine has nothing but turns.
 type machine struct{}
 
-func (machine) Begin(router.Time)        {}
-func (machine) End()                     {}
-func (machine) Due() (router.Time, bool) { return 0, false }
+func (machine) BeginTurn(router.Time)        {}
+func (machine) EndTurn()                     {}
+func (machine) NextDue() (router.Time, bool) { return 0, false }
 
 // rig is a set with one link, a worker that counts what comes whole, and a gate that connections come up behind.
 type rig struct {
 	t    *testing.T
-	s    *Set
+	s    *LinkSet
 	loop *turn.Loop
 	l    net.Listener
 	came chan string // a message's verb and path; "" for a connection that ended with nothing on it
@@ -68,13 +68,13 @@
 		}
 	}()
 	e := engine.New(engine.Options{Settings: router.Settings{}, Now: r.loop.Now(), Log: func(string) {}})
-	r.s = New(r.loop, e, Options{ConnectTimeOut: patience, OrderTimeOut: patience, Idle: patience, Connections: 8,
+	r.s = New(r.loop, e, Options{ConnectTimeout: patience, OrderTimeout: patience, IdleTimeout: patience, MaxConnections: 8,
 		Dialer: r, Log: zerolog.Nop()})
 	ctx, stop := context.WithCancel(context.Background())
 	over := make(chan bool)
 	go func() { r.loop.Run(ctx, machine{}); close(over) }()
 	t.Cleanup(func() { stop(); <-over; l.Close() })
-	r.turn(func() { r.s.Want("w", l.Addr().String(), 1) })
+	r.turn(func() { r.s.Add("w", l.Addr().String(), 1) })
 	return r
 }
 
@@ -165,7 +165,7 @@
 	r := newRig(t)
 	_, ended := r.message(patience)
 	<-r.up
-	r.turn(func() { r.s.Unwant("w") })
+	r.turn(func() { r.s.Remove("w") })
 	r.nothingGoes(ended)
 
 	r = newRig(t)
@@ -173,7 +173,7 @@
 	<-r.up
 	r.gate <- true
 	r.sees("PUT /v2/q/f/1")
-	r.turn(func() { r.s.Unwant("w") })
+	r.turn(func() { r.s.Remove("w") })
 	r.ends(ended, router.OK)
 	r.counted(0)
 }
@@ -188,11 +188,11 @@
 			<-ctx.Done()
 			return nil, ctx.Err()
 		})
-		r.s.Renew(o)
+		r.s.UpdateSettings(o)
 	})
 	_, ended := r.message(time.Hour)
 	<-r.up
-	r.turn(func() { r.s.Unwant("w") })
+	r.turn(func() { r.s.Remove("w") })
 	r.ends(ended, router.Full)
 	r.counted(0)
 }
@@ -256,8 +256,8 @@
 	r.counted(3)
 	r.turn(func() {
 		o := r.s.o
-		o.Connections = 2
-		r.s.Renew(o)
+		o.MaxConnections = 2
+		r.s.UpdateSettings(o)
 	})
 	_, ended := r.message(patience)
 	r.goes(ended)
@@ -270,11 +270,11 @@
 		e    end
 		want router.Outcome
 	}{
-		{end{err: hop.ErrUnsent, local: true}, router.Full},
-		{end{err: errors.Join(hop.ErrUnsent, context.DeadlineExceeded)}, router.ConnectFailed},
-		{end{err: hop.ErrSpoilt}, router.Reset},
+		{end{err: hop.ErrNotSent, local: true}, router.Full},
+		{end{err: errors.Join(hop.ErrNotSent, context.DeadlineExceeded)}, router.ConnectFailed},
+		{end{err: hop.ErrBadAnswer}, router.Reset},
 		{end{err: io.EOF}, router.Reset},
-		{end{err: net.ErrClosed}, router.CalledOff},
+		{end{err: net.ErrClosed}, router.Cancelled},
 	} {
 		if got := c.e.outcome(); got != c.want {
 			t.Errorf("%v: %d, want %d", c.e.err, got, c.want)
@@ -294,13 +294,13 @@
 		})
 		return ended
 	}
-	late := begin(r.loop.Now() + turn.Span(20*time.Millisecond))
+	late := begin(r.loop.Now() + turn.FromDuration(20*time.Millisecond))
 	<-r.up
 	time.Sleep(30 * time.Millisecond)
 	r.gate <- true
-	r.ends(late, router.Moot)
+	r.ends(late, router.NotSent)
 	r.sees("")
-	inTime := begin(r.loop.Now() + turn.Span(patience))
+	inTime := begin(r.loop.Now() + turn.FromDuration(patience))
 	<-r.up
 	r.gate <- true
 	r.sees("PUT /v2/q/f/1")
@@ -315,22 +315,22 @@
 		r := newRig(t)
 		r.turn(func() {
 			o := r.s.o
-			o.PauseMost = pauseMost
-			r.s.Renew(o)
-			r.s.Begin()
+			o.MaxPause = pauseMost
+			r.s.UpdateSettings(o)
+			r.s.BeginTurn()
 		})
 		ended := make(chan end, 1)
 		r.turn(func() {
-			r.s.links["w"].start("message", []byte("PUT /v2/q/f/1 HTTP/1.1\r\nHost: w\r\n\r\n"), patience, r.loop.Now()+turn.Span(patience),
+			r.s.links["w"].start("message", []byte("PUT /v2/q/f/1 HTTP/1.1\r\nHost: w\r\n\r\n"), patience, r.loop.Now()+turn.FromDuration(patience),
 				func(e end) { ended <- e })
 		})
 		<-r.up
 		time.Sleep(2 * pauseMost) // no turn of the loop calls Begin here: the process might as well stand still
 		if turned {
-			r.turn(r.s.Begin)
+			r.turn(r.s.BeginTurn)
 		}
 		r.gate <- true
-		r.ends(ended, router.Moot)
+		r.ends(ended, router.NotSent)
 		r.sees("")
 	}
 }
--- a/internal/ident/ident.go
+++ b/internal/ident/ident.go
@@ -16,8 +16,8 @@
 // Worker is the id of a worker's name: the upper half of XXH64 with seed 0.
 func Worker(name string) router.WorkerID { return router.WorkerID(xxhash.Sum64String(name) >> 32) }
 
-// Distinct tells of the first two names that share an id, or of a name that stands twice.
-func Distinct[ID comparable](names []string, id func(string) ID) error {
+// CheckDistinct tells of the first two names that share an id, or of a name that stands twice.
+func CheckDistinct[ID comparable](names []string, id func(string) ID) error {
 	by := make(map[ID]string, len(names))
 	for _, name := range names {
 		other, known := by[id(name)]
--- a/internal/ident/ident_test.go
+++ b/internal/ident/ident_test.go
@@ -26,14 +26,14 @@
 		}
 		seen[Worker(name)] = name
 	}
-	err := Distinct([]string{"x", one, two}, Worker)
+	err := CheckDistinct([]string{"x", one, two}, Worker)
 	if err == nil || !strings.Contains(err.Error(), strconv.Quote(one)) || !strings.Contains(err.Error(), strconv.Quote(two)) {
 		t.Errorf("%q and %q: %v", one, two, err)
 	}
-	if err := Distinct([]string{"x", "y", "x"}, Worker); err == nil || !strings.Contains(err.Error(), `"x" stands twice`) {
+	if err := CheckDistinct([]string{"x", "y", "x"}, Worker); err == nil || !strings.Contains(err.Error(), `"x" stands twice`) {
 		t.Errorf("twice: %v", err)
 	}
-	if err := Distinct([]string{"x", "y", one}, Worker); err != nil {
+	if err := CheckDistinct([]string{"x", "y", one}, Worker); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/jsonrpc/codec.go
+++ b/internal/jsonrpc/codec.go
@@ -23,30 +23,30 @@
 // ID is a message's id as it came: a string, a number or null. An empty one is none: a notification.
 type ID []byte
 
-// Null is the id of answers to what has no readable id.
-var Null = ID("null")
-
-// Peer is told what a value holds. The bytes that it gets are good until it returns.
-type Peer interface {
-	// BatchBegins precedes the messages of an array, BatchEnds follows them.
-	BatchBegins()
-	BatchEnds()
-	// Asked is a request, or a notification where id is empty. Params are empty where there are none.
-	Asked(id ID, method string, params []byte)
-	// Answered is a response: a result, or an error with its code.
-	Answered(id ID, result []byte, code int, message string, data []byte)
-	// Broken is what is no message: the code, and what is wrong, for an answer to id.
-	Broken(id ID, code int, message string)
+// NullID is the id of answers to what has no readable id.
+var NullID = ID("null")
+
+// Handler is told what a value holds. The bytes that it gets are good until it returns.
+type Handler interface {
+	// BeginBatch precedes the messages of an array, BatchEnds follows them.
+	BeginBatch()
+	EndBatch()
+	// HandleRequest is a request, or a notification where id is empty. Params are empty where there are none.
+	HandleRequest(id ID, method string, params []byte)
+	// HandleResponse is a response: a result, or an error with its code.
+	HandleResponse(id ID, result []byte, code int, message string, data []byte)
+	// HandleInvalid is what is no message: the code, and what is wrong, for an answer to id.
+	HandleInvalid(id ID, code int, message string)
 }
 
-// Singly is for peers to embed to whom a batch is no more than its messages.
-type Singly struct{}
+// IgnoreBatches is for peers to embed to whom a batch is no more than its messages.
+type IgnoreBatches struct{}
 
-// BatchBegins implements Peer.
-func (Singly) BatchBegins() {}
+// BeginBatch implements Peer.
+func (IgnoreBatches) BeginBatch() {}
 
-// BatchEnds implements Peer.
-func (Singly) BatchEnds() {}
+// EndBatch implements Peer.
+func (IgnoreBatches) EndBatch() {}
 
 // Decoder reads messages out of values. It keeps buffers and serves one goroutine.
 type Decoder struct {
@@ -57,14 +57,14 @@
 var options = []jsontext.Options{jsontext.AllowDuplicateNames(true)}
 
 // Decode tells p what one value holds.
-func (d *Decoder) Decode(value []byte, p Peer) {
+func (d *Decoder) Decode(value []byte, p Handler) {
 	if len(value) > 0 && value[0] == '{' { // the ordinary case: it is checked as it is read
 		d.one(value, p)
 		return
 	}
 	v, err := d.whole(value)
 	if err != nil {
-		p.Broken(Null, ParseError, "not JSON: "+reason(err))
+		p.HandleInvalid(NullID, ParseError, "not JSON: "+reason(err))
 		return
 	}
 	if v.Kind() != '[' {
@@ -73,18 +73,18 @@
 	}
 	parts, err := elements(v)
 	if err != nil {
-		p.Broken(Null, ParseError, "not JSON: "+reason(err))
+		p.HandleInvalid(NullID, ParseError, "not JSON: "+reason(err))
 		return
 	}
 	if len(parts) == 0 {
-		p.Broken(Null, InvalidRequest, "an empty batch")
+		p.HandleInvalid(NullID, InvalidRequest, "an empty batch")
 		return
 	}
-	p.BatchBegins()
+	p.BeginBatch()
 	for _, part := range parts {
 		d.one(part, p)
 	}
-	p.BatchEnds()
+	p.EndBatch()
 }
 
 // whole reads the one value that there must be.
@@ -130,9 +130,9 @@
 }
 
 // one tells p what one message holds.
-func (d *Decoder) one(v jsontext.Value, p Peer) {
+func (d *Decoder) one(v jsontext.Value, p Handler) {
 	if v.Kind() != '{' {
-		p.Broken(Null, InvalidRequest, "a message is an object, not "+kindWord(v.Kind()))
+		p.HandleInvalid(NullID, InvalidRequest, "a message is an object, not "+kindWord(v.Kind()))
 		return
 	}
 	var version, method, id, params, result, failure jsontext.Value
@@ -166,12 +166,12 @@
 	}
 	answerTo := ID(id)
 	if k := id.Kind(); id == nil || k != '"' && k != '0' && k != 'n' {
-		answerTo = Null
+		answerTo = NullID
 	}
-	bad := func(message string) { p.Broken(answerTo, InvalidRequest, message) }
+	bad := func(message string) { p.HandleInvalid(answerTo, InvalidRequest, message) }
 	switch {
 	case err != nil:
-		p.Broken(Null, ParseError, "not JSON: "+reason(err))
+		p.HandleInvalid(NullID, ParseError, "not JSON: "+reason(err))
 	case twice != "":
 		bad(fmt.Sprintf("member %q stands twice", twice))
 	case version == nil:
@@ -181,21 +181,21 @@
 	case id != nil && string(answerTo) != string(id):
 		bad(`member "id" must be a string, a number or null, not ` + kindWord(id.Kind()))
 	case method != nil:
-		name, isText := Text(method)
+		name, isText := ParseString(method)
 		if !isText {
 			bad(`member "method" must be a string, not ` + kindWord(method.Kind()))
 		} else if k := params.Kind(); params != nil && k != '{' && k != '[' {
 			bad(`member "params" must be an object or an array, not ` + kindWord(k))
 		} else {
-			p.Asked(ID(id), name, params)
+			p.HandleRequest(ID(id), name, params)
 		}
 	case (result == nil) == (failure == nil):
 		bad(`member "method" is missing`)
 	case failure == nil:
-		p.Answered(answerTo, result, 0, "", nil)
+		p.HandleResponse(answerTo, result, 0, "", nil)
 	default:
 		var code, message, data jsontext.Value
-		_ = Members(failure, func(name []byte, value jsontext.Value) error {
+		_ = ForEachMember(failure, func(name []byte, value jsontext.Value) error {
 			switch string(name) {
 			case "code":
 				code = value
@@ -206,13 +206,13 @@
 			}
 			return nil
 		})
-		number, isNumber := Number(code)
-		text, _ := Text(message)
+		number, isNumber := ParseNumber(code)
+		text, _ := ParseString(message)
 		if !isNumber || number == 0 {
 			bad(`member "error" must be an object with a code other than 0`)
 			return
 		}
-		p.Answered(answerTo, nil, int(number), text, data)
+		p.HandleResponse(answerTo, nil, int(number), text, data)
 	}
 }
 
@@ -234,8 +234,8 @@
 	return "nothing"
 }
 
-// Members calls f for each member of a valid object, in order; f's first error ends it.
-func Members(object []byte, f func(name []byte, value jsontext.Value) error) error {
+// ForEachMember calls f for each member of a valid object, in order; f's first error ends it.
+func ForEachMember(object []byte, f func(name []byte, value jsontext.Value) error) error {
 	d := decoders.Get().(*Decoder)
 	defer decoders.Put(d)
 	_, err := d.members(object, f)
@@ -278,8 +278,8 @@
 	return dec.InputOffset(), err
 }
 
-// Text reads a JSON string.
-func Text(v jsontext.Value) (string, bool) {
+// ParseString reads a JSON string.
+func ParseString(v jsontext.Value) (string, bool) {
 	if len(v) < 2 || v[0] != '"' {
 		return "", false
 	}
@@ -290,8 +290,8 @@
 	return string(b), err == nil
 }
 
-// Number reads a finite JSON number.
-func Number(v jsontext.Value) (float64, bool) {
+// ParseNumber reads a finite JSON number.
+func ParseNumber(v jsontext.Value) (float64, bool) {
 	if len(v) == 0 || v.Kind() != '0' {
 		return 0, false
 	}
@@ -299,8 +299,8 @@
 	return n, err == nil && !math.IsInf(n, 0)
 }
 
-// Numbers reads an array of finite numbers.
-func Numbers(v jsontext.Value) ([]float64, bool) {
+// ParseNumbers reads an array of finite numbers.
+func ParseNumbers(v jsontext.Value) ([]float64, bool) {
 	if len(v) == 0 || v.Kind() != '[' {
 		return nil, false
 	}
@@ -319,8 +319,8 @@
 	return out, true
 }
 
-// AppendText appends a JSON string; what is not UTF-8 in it is replaced.
-func AppendText(out []byte, s string) []byte {
+// AppendString appends a JSON string; what is not UTF-8 in it is replaced.
+func AppendString(out []byte, s string) []byte {
 	// with invalid UTF-8 the replaced text is returned beside the error
 	q, _ := jsontext.AppendQuote(out, s)
 	return q
@@ -332,7 +332,7 @@
 	if len(id) > 0 {
 		out = append(append(append(out, `"id":`...), id...), ',')
 	}
-	out = AppendText(append(out, `"method":`...), method)
+	out = AppendString(append(out, `"method":`...), method)
 	if len(params) > 0 {
 		out = append(append(out, `,"params":`...), params...)
 	}
@@ -350,7 +350,7 @@
 func AppendError(out []byte, id ID, code int, message string, data []byte) []byte {
 	out = append(append(out, `{"jsonrpc":"2.0","id":`...), id...)
 	out = strconv.AppendInt(append(out, `,"error":{"code":`...), int64(code), 10)
-	out = AppendText(append(out, `,"message":`...), message)
+	out = AppendString(append(out, `,"message":`...), message)
 	if len(data) > 0 {
 		out = append(append(out, `,"data":`...), data...)
 	}
@@ -374,7 +374,7 @@
 	if len(object) == 0 || object[0] != '{' {
 		return nil
 	}
-	_ = Members(object, func(n []byte, v jsontext.Value) error {
+	_ = ForEachMember(object, func(n []byte, v jsontext.Value) error {
 		if string(n) == name {
 			value = v
 		}
--- a/internal/jsonrpc/conn.go
+++ b/internal/jsonrpc/conn.go
@@ -12,9 +12,9 @@
 // Conn is one end of a stream of JSON-RPC messages, a line each: what is written is queued, what is read goes to a
 // peer.
 type Conn struct {
-	nc    net.Conn
-	limit int
-	Codec func() func(in io.Reader) error // gives the reader of one message in another codec, once that is agreed on; nil: none is
+	nc        net.Conn
+	limit     int
+	NextCodec func() func(in io.Reader) error // gives the reader of one message in another codec, once that is agreed on; nil: none is
 
 	mu    sync.Mutex
 	more  *sync.Cond
@@ -51,7 +51,7 @@
 func (c *Conn) Close() { c.nc.Close() }
 
 // Serve reads messages for p until the stream or the context ends, and closes the connection.
-func (c *Conn) Serve(ctx context.Context, p Peer) error {
+func (c *Conn) Serve(ctx context.Context, p Handler) error {
 	stop := context.AfterFunc(ctx, func() { c.nc.Close() })
 	defer stop()
 	written := make(chan struct{})
@@ -60,9 +60,9 @@
 	var dec Decoder
 	var err error
 	for {
-		if c.Codec != nil {
-			if next := c.Codec(); next != nil { // the other side has changed the codec
-				if err = next(r.Rest()); err != nil {
+		if c.NextCodec != nil {
+			if next := c.NextCodec(); next != nil { // the other side has changed the codec
+				if err = next(r.Remaining()); err != nil {
 					break
 				}
 				continue
@@ -105,11 +105,11 @@
 	}
 }
 
-// ErrLost is told of what was asked on a connection that has ended.
-var ErrLost = errors.New("connection lost")
+// ErrConnectionLost is told of what was asked on a connection that has ended.
+var ErrConnectionLost = errors.New("connection lost")
 
-// Answer is what came of a question; Err: the connection ended first. Result and Data are the receiver's.
-type Answer struct {
+// Response is what came of a question; Err: the connection ended first. Result and Data are the receiver's.
+type Response struct {
 	Result  []byte
 	Code    int
 	Message string
@@ -119,19 +119,19 @@
 
 // Caller asks over a Conn and passes answers on. Its Peer methods serve Conn.Serve.
 type Caller struct {
-	Singly
+	IgnoreBatches
 	*Conn
-	mu    sync.Mutex
-	last  uint64
-	wait  map[string]func(Answer)
-	ended bool
-	Other func(method string, params []byte) // notifications that come; nil: none are expected
-	Watch bool                               // further answers to one question are passed on, too
+	mu             sync.Mutex
+	last           uint64
+	wait           map[string]func(Response)
+	ended          bool
+	OnNotification func(method string, params []byte) // notifications that come; nil: none are expected
+	Streaming      bool                               // further answers to one question are passed on, too
 }
 
 // NewCaller takes a connection; Run serves it.
 func NewCaller(nc net.Conn, limit int) *Caller {
-	return &Caller{Conn: NewConn(nc, limit), wait: map[string]func(Answer){}}
+	return &Caller{Conn: NewConn(nc, limit), wait: map[string]func(Response){}}
 }
 
 // Run reads answers until the stream or the context ends; what is still asked then ends with ErrLost.
@@ -143,17 +143,17 @@
 	c.wait = nil
 	c.mu.Unlock()
 	for _, f := range wait {
-		f(Answer{Err: ErrLost})
+		f(Response{Err: ErrConnectionLost})
 	}
 	return err
 }
 
-// Ask sends a request; f is called once, from the reader's goroutine or from this one.
-func (c *Caller) Ask(method string, params []byte, f func(Answer)) {
+// CallAsync sends a request; f is called once, from the reader's goroutine or from this one.
+func (c *Caller) CallAsync(method string, params []byte, f func(Response)) {
 	c.mu.Lock()
 	if c.ended {
 		c.mu.Unlock()
-		f(Answer{Err: ErrLost})
+		f(Response{Err: ErrConnectionLost})
 		return
 	}
 	c.last++
@@ -163,46 +163,48 @@
 	c.Write(AppendRequest(nil, id, method, params))
 }
 
-// Tell sends a notification.
-func (c *Caller) Tell(method string, params []byte) { c.Write(AppendRequest(nil, nil, method, params)) }
+// Notify sends a notification.
+func (c *Caller) Notify(method string, params []byte) {
+	c.Write(AppendRequest(nil, nil, method, params))
+}
 
 // Call asks and waits.
-func (c *Caller) Call(ctx context.Context, method string, params []byte) Answer {
-	got := make(chan Answer, 1)
-	c.Ask(method, params, func(a Answer) { got <- a })
+func (c *Caller) Call(ctx context.Context, method string, params []byte) Response {
+	got := make(chan Response, 1)
+	c.CallAsync(method, params, func(a Response) { got <- a })
 	select {
 	case a := <-got:
 		return a
 	case <-ctx.Done():
-		return Answer{Err: ctx.Err()}
+		return Response{Err: ctx.Err()}
 	}
 }
 
-// Broken implements Peer.
-func (c *Caller) Broken(ID, int, string) { c.Close() }
+// HandleInvalid implements Peer.
+func (c *Caller) HandleInvalid(ID, int, string) { c.Close() }
 
-// Asked implements Peer.
-func (c *Caller) Asked(_ ID, method string, params []byte) {
-	if c.Other != nil {
-		c.Other(method, params)
+// HandleRequest implements Peer.
+func (c *Caller) HandleRequest(_ ID, method string, params []byte) {
+	if c.OnNotification != nil {
+		c.OnNotification(method, params)
 	}
 }
 
-// Answered implements Peer.
-func (c *Caller) Answered(id ID, result []byte, code int, message string, data []byte) {
+// HandleResponse implements Peer.
+func (c *Caller) HandleResponse(id ID, result []byte, code int, message string, data []byte) {
 	c.mu.Lock()
 	f := c.wait[string(id)]
-	if !c.Watch {
+	if !c.Streaming {
 		delete(c.wait, string(id))
 	}
 	c.mu.Unlock()
 	if f != nil {
-		f(Answer{Result: bytes.Clone(result), Code: code, Message: message, Data: bytes.Clone(data)})
+		f(Response{Result: bytes.Clone(result), Code: code, Message: message, Data: bytes.Clone(data)})
 	}
 }
 
-// Over tells whether the stream has ended.
-func (c *Caller) Over() bool {
+// Closed tells whether the stream has ended.
+func (c *Caller) Closed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.ended
--- a/internal/jsonrpc/framing.go
+++ b/internal/jsonrpc/framing.go
@@ -35,11 +35,11 @@
 	return &Reader{b: bufio.NewReaderSize(r, 1<<14), limit: limit}
 }
 
-// Headers tells whether the stream's values follow headers; known once a value was read.
-func (r *Reader) Headers() bool { return r.headers }
+// HasHeaders tells whether the stream's values follow headers; known once a value was read.
+func (r *Reader) HasHeaders() bool { return r.headers }
 
-// Rest is the stream behind what was taken off it, for a codec that follows.
-func (r *Reader) Rest() io.Reader { return r.b }
+// Remaining is the stream behind what was taken off it, for a codec that follows.
+func (r *Reader) Remaining() io.Reader { return r.b }
 
 // Next returns the next value's bytes, good until the next call. At a clean end it returns io.EOF, within a value
 // io.ErrUnexpectedEOF, and ErrTooLarge for a value that was passed over. Any other error ends the stream.
--- a/internal/jsonrpc/jsonrpc_test.go
+++ b/internal/jsonrpc/jsonrpc_test.go
@@ -15,15 +15,15 @@
 func (p *told) say(format string, args ...any) {
 	p.lines = append(p.lines, fmt.Sprintf(format, args...))
 }
-func (p *told) BatchBegins() { p.say("[") }
-func (p *told) BatchEnds()   { p.say("]") }
-func (p *told) Asked(id ID, method string, params []byte) {
+func (p *told) BeginBatch() { p.say("[") }
+func (p *told) EndBatch()   { p.say("]") }
+func (p *told) HandleRequest(id ID, method string, params []byte) {
 	p.say("asked %s %s %s", id, method, params)
 }
-func (p *told) Answered(id ID, result []byte, code int, message string, data []byte) {
+func (p *told) HandleResponse(id ID, result []byte, code int, message string, data []byte) {
 	p.say("answered %s %s %d %s %s", id, result, code, message, data)
 }
-func (p *told) Broken(id ID, code int, message string) { p.say("broken %s %d", id, code) }
+func (p *told) HandleInvalid(id ID, code int, message string) { p.say("broken %s %d", id, code) }
 
 func decode(value string) string {
 	var p told
--- a/internal/keys/keys.go
+++ b/internal/keys/keys.go
@@ -21,20 +21,20 @@
 // may be empty: clients then need none.
 type Files struct{ Cert, Key, ClientCA string }
 
-// Set is one state of the files, found good.
-type Set struct {
+// Bundle is one state of the files, found good.
+type Bundle struct {
 	cert     tls.Certificate
 	clients  *x509.CertPool
 	NotAfter time.Time // of the certificate that expires first in the chain
 }
 
 // Load reads and checks the files as of now.
-func Load(f Files, now time.Time) (*Set, error) {
+func Load(f Files, now time.Time) (*Bundle, error) {
 	cert, err := tls.LoadX509KeyPair(f.Cert, f.Key)
 	if err != nil {
 		return nil, fmt.Errorf("certificate %s with key %s: %w", f.Cert, f.Key, err)
 	}
-	s := &Set{cert: cert}
+	s := &Bundle{cert: cert}
 	var before *x509.Certificate
 	for i, der := range cert.Certificate {
 		c, err := x509.ParseCertificate(der)
@@ -70,7 +70,7 @@
 type Store struct {
 	files Files
 	log   zerolog.Logger
-	set   atomic.Pointer[Set]
+	set   atomic.Pointer[Bundle]
 	seen  [3]stamp
 	told  time.Time
 }
@@ -104,7 +104,7 @@
 // Watch looks at the files each interval until the context ends, and warns each day once less than ahead is left.
 func (s *Store) Watch(ctx context.Context, every, ahead time.Duration) {
 	for {
-		s.Look(time.Now(), ahead)
+		s.ReloadIfChanged(time.Now(), ahead)
 		select {
 		case <-ctx.Done():
 			return
@@ -113,9 +113,9 @@
 	}
 }
 
-// Look takes changed files over, if they are good: new connections get them, those that stand go on. It reports
+// ReloadIfChanged takes changed files over, if they are good: new connections get them, those that stand go on. It reports
 // whether a new set is in use.
-func (s *Store) Look(now time.Time, ahead time.Duration) bool {
+func (s *Store) ReloadIfChanged(now time.Time, ahead time.Duration) bool {
 	fresh := false
 	if stamps := s.stamps(); stamps != s.seen {
 		s.seen = stamps
@@ -136,8 +136,8 @@
 	return fresh
 }
 
-// Config is a server's: each handshake gets the set in use then.
-func (s *Store) Config(protocols ...string) *tls.Config {
+// ServerConfig is a server's: each handshake gets the set in use then.
+func (s *Store) ServerConfig(protocols ...string) *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS12, NextProtos: protocols,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
 			set := s.set.Load()
@@ -156,9 +156,9 @@
 	Methods  []string // none: all
 }
 
-// Admit holds what an RPC asks for against its client: the method, and the customer, which is the client's where it
+// Authorize holds what an RPC asks for against its client: the method, and the customer, which is the client's where it
 // has one. A nil client may ask for all.
-func (c *Client) Admit(method string, customer *string) error {
+func (c *Client) Authorize(method string, customer *string) error {
 	if c == nil {
 		return nil
 	}
@@ -172,11 +172,11 @@
 	return nil
 }
 
-// ErrUnknown is a certificate whose name stands for nobody.
-var ErrUnknown = errors.New("the certificate's name is on no list")
+// ErrUnknownClient is a certificate whose name stands for nobody.
+var ErrUnknownClient = errors.New("the certificate's name is on no list")
 
-// Find finds the client that a verified certificate names. Without a list everybody is let in.
-func Find(list []Client, state *tls.ConnectionState) (*Client, error) {
+// FindClient finds the client that a verified certificate names. Without a list everybody is let in.
+func FindClient(list []Client, state *tls.ConnectionState) (*Client, error) {
 	if len(list) == 0 || state == nil || len(state.PeerCertificates) == 0 {
 		return nil, nil
 	}
@@ -191,5 +191,5 @@
 			}
 		}
 	}
-	return nil, fmt.Errorf("%w: %q", ErrUnknown, c.Subject.CommonName)
+	return nil, fmt.Errorf("%w: %q", ErrUnknownClient, c.Subject.CommonName)
 }
--- a/internal/keys/keys_test.go
+++ b/internal/keys/keys_test.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := tls.NewListener(raw, s.Config())
+	l := tls.NewListener(raw, s.ServerConfig())
 	defer l.Close()
 	go func() {
 		for {
@@ -107,7 +107,7 @@
 		t.Error("a client of another authority came in")
 	}
 	keystest.New(t, "second", ca, now.Add(-day), now.Add(20*day)).Write(t, f.Cert, f.Key)
-	if !s.Look(now.Add(time.Second), day) {
+	if !s.ReloadIfChanged(now.Add(time.Second), day) {
 		t.Fatal("new keys are not taken")
 	}
 	after, err := dial("second", client)
@@ -121,7 +121,7 @@
 	if err := os.WriteFile(f.Key, []byte("broken"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if s.Look(now.Add(2*time.Second), day) || !strings.Contains(log.String(), "the last good ones stand") {
+	if s.ReloadIfChanged(now.Add(2*time.Second), day) || !strings.Contains(log.String(), "the last good ones stand") {
 		t.Errorf("bad keys: %s", log.String())
 	}
 	if again, err := dial("second", client); err != nil {
@@ -131,16 +131,16 @@
 	}
 	log.Reset()
 	for hour := range 48 {
-		s.Look(now.Add(7*day+time.Duration(hour)*time.Hour), 14*day)
+		s.ReloadIfChanged(now.Add(7*day+time.Duration(hour)*time.Hour), 14*day)
 	}
 	if n := strings.Count(log.String(), "expires soon"); n != 2 {
 		t.Errorf("told %d times in two days: %s", n, log.String())
 	}
 	state := &tls.ConnectionState{PeerCertificates: []*x509.Certificate{client.Cert}}
-	if c, err := Find([]Client{{Name: "x"}, {Name: "booking-app", Customer: "east"}}, state); err != nil || c.Customer != "east" {
+	if c, err := FindClient([]Client{{Name: "x"}, {Name: "booking-app", Customer: "east"}}, state); err != nil || c.Customer != "east" {
 		t.Errorf("%v, %v", c, err)
 	}
-	if _, err := Find([]Client{{Name: "x"}}, state); !errors.Is(err, ErrUnknown) {
+	if _, err := FindClient([]Client{{Name: "x"}}, state); !errors.Is(err, ErrUnknownClient) {
 		t.Errorf("unknown: %v", err)
 	}
 }
--- a/internal/kserve/grpc.go
+++ b/internal/kserve/grpc.go
@@ -64,7 +64,7 @@
 		p := ctx.Value(connKey{}).(*peer)
 		c.s.loop.Post(func() {
 			if p.conn != nil {
-				p.conn.Leave()
+				p.conn.Close()
 			}
 		})
 	}
@@ -128,9 +128,9 @@
 	if err != nil {
 		return nil, status.Error(codes.NotFound, err.Error())
 	}
-	p := front.Params{Method: m.Method, Function: m.Function, Time: -1}
+	p := front.Params{Method: m.Method, Function: m.Function, TimeoutMS: -1}
 	if deadline, has := ctx.Deadline(); has {
-		p.Time = max(0, float64(time.Until(deadline))/float64(time.Millisecond))
+		p.TimeoutMS = max(0, float64(time.Until(deadline))/float64(time.Millisecond))
 	}
 	md, _ := metadata.FromIncomingContext(ctx)
 	if v := md.Get(strings.ToLower(s.o.TimeHeader)); len(v) > 0 { // as over HTTP; the shorter one holds
@@ -138,8 +138,8 @@
 		if err != nil {
 			return nil, status.Errorf(codes.InvalidArgument, "%s: %v", s.o.TimeHeader, err)
 		}
-		if p.Time < 0 || ms < p.Time {
-			p.Time = ms
+		if p.TimeoutMS < 0 || ms < p.TimeoutMS {
+			p.TimeoutMS = ms
 		}
 	}
 	for name, to := range map[string]*string{s.o.CustomerHeader: &p.Customer, s.o.TokenHeader: &p.Token} {
@@ -153,14 +153,14 @@
 			state = &info.State
 		}
 	}
-	client, err := keys.Find(s.o.Clients, state)
+	client, err := keys.FindClient(s.o.Clients, state)
 	if err == nil {
-		err = client.Admit(s.desk.MethodAt(m.Method).Name, &p.Customer)
+		err = client.Authorize(s.desk.MethodAt(m.Method).Name, &p.Customer)
 	}
 	if err != nil {
 		return nil, status.Error(codes.PermissionDenied, err.Error())
 	}
-	if most := s.desk.MethodAt(m.Method).Bytes; most > 0 && int64(proto.Size(r)) > most {
+	if most := s.desk.MethodAt(m.Method).MaxBytes; most > 0 && int64(proto.Size(r)) > most {
 		return nil, status.Errorf(codes.ResourceExhausted, "a message of %d bytes, %d are taken", proto.Size(r), most)
 	}
 	in, err := fromProto(r)
@@ -168,7 +168,7 @@
 		err = m.check(&in)
 	}
 	if err == nil {
-		err = s.desk.Check(&p)
+		err = s.desk.Validate(&p)
 	}
 	if err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
@@ -181,7 +181,7 @@
 	switch o.kind {
 	case isDenied:
 		st := status.New(codes.Unavailable, o.message)
-		info := &errdetails.RetryInfo{RetryDelay: durationpb.New(turn.Duration(o.comeBack))}
+		info := &errdetails.RetryInfo{RetryDelay: durationpb.New(turn.ToDuration(o.comeBack))}
 		if with, err := st.WithDetails(info); err == nil {
 			st = with
 		}
