--- a/internal/kserve/http.go
+++ b/internal/kserve/http.go
@@ -59,7 +59,7 @@
 type Server struct {
 	o      Options
 	loop   *turn.Loop
-	desk   *front.Desk
+	desk   *front.Dispatcher
 	models atomic.Pointer[map[string][]*Model] // versions of each, in their order
 	http   http.Server
 	grpc   []*grpc.Server // plain, and with TLS where there are keys
@@ -76,9 +76,9 @@
 type connKey struct{}
 
 // New makes a server for a desk that loop drives.
-func New(loop *turn.Loop, d *front.Desk, o Options) *Server {
+func New(loop *turn.Loop, d *front.Dispatcher, o Options) *Server {
 	s := &Server{o: o, loop: loop, desk: d, conns: map[net.Conn]*peer{}}
-	s.Renew(o.Models)
+	s.UpdateSettings(o.Models)
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v2/health/live", func(w http.ResponseWriter, _ *http.Request) { write(w, 200, []byte(`{"live":true}`)) })
 	mux.HandleFunc("GET /v2/health/ready", s.ready)
@@ -101,13 +101,13 @@
 		ConnState: s.state}
 	s.grpc = []*grpc.Server{newGRPC(s)}
 	if o.Keys != nil {
-		s.grpc = append(s.grpc, newGRPC(s, grpc.Creds(credentials.NewTLS(o.Keys.Config("h2")))))
+		s.grpc = append(s.grpc, newGRPC(s, grpc.Creds(credentials.NewTLS(o.Keys.ServerConfig("h2")))))
 	}
 	return s
 }
 
-// Renew takes new models; infers that came before keep theirs.
-func (s *Server) Renew(models []Model) {
+// UpdateSettings takes new models; infers that came before keep theirs.
+func (s *Server) UpdateSettings(models []Model) {
 	by := map[string][]*Model{}
 	for i := range models {
 		by[models[i].Name] = append(by[models[i].Name], &models[i])
@@ -131,7 +131,7 @@
 
 // ServeTLS is Serve with the keys.
 func (s *Server) ServeTLS(l net.Listener) error {
-	return s.Serve(tls.NewListener(l, s.o.Keys.Config("http/1.1")))
+	return s.Serve(tls.NewListener(l, s.o.Keys.ServerConfig("http/1.1")))
 }
 
 // Drain takes no more connections, and returns once all that came are answered or the context ends.
@@ -181,7 +181,7 @@
 	if p != nil {
 		s.loop.Post(func() {
 			if p.conn != nil {
-				p.conn.Leave()
+				p.conn.Close()
 			}
 		})
 	}
@@ -204,14 +204,14 @@
 }
 
 func fail(w http.ResponseWriter, status int, message string) {
-	write(w, status, append(jsonrpc.AppendText([]byte(`{"error":`), message), '}'))
+	write(w, status, append(jsonrpc.AppendString([]byte(`{"error":`), message), '}'))
 }
 
 // isReady asks in a turn; of a model, too, unless it is nil.
 func (s *Server) isReady(m *Model) bool {
 	got := make(chan bool, 1)
 	if !s.loop.Post(func() {
-		got <- !s.desk.Stopping() && (s.o.Ready == nil || s.o.Ready()) &&
+		got <- !s.desk.Draining() && (s.o.Ready == nil || s.o.Ready()) &&
 			(m == nil || s.o.Halted == nil || !s.o.Halted(m.Function))
 	}) {
 		return false
@@ -228,7 +228,7 @@
 }
 
 func (s *Server) metadata(w http.ResponseWriter, _ *http.Request) {
-	b := jsonrpc.AppendText([]byte(`{"name":`), s.o.Name)
+	b := jsonrpc.AppendString([]byte(`{"name":`), s.o.Name)
 	write(w, 200, append(b, `,"version":"2","extensions":["binary_tensor_data"]}`...))
 }
 
@@ -264,7 +264,7 @@
 	if !ready {
 		status = http.StatusServiceUnavailable
 	}
-	b := jsonrpc.AppendText([]byte(`{"name":`), m.Name)
+	b := jsonrpc.AppendString([]byte(`{"name":`), m.Name)
 	write(w, status, append(strconv.AppendBool(append(b, `,"ready":`...), ready), '}'))
 }
 
@@ -273,15 +273,15 @@
 	if m == nil {
 		return
 	}
-	b := jsonrpc.AppendText([]byte(`{"name":`), m.Name)
+	b := jsonrpc.AppendString([]byte(`{"name":`), m.Name)
 	b = append(b, `,"versions":[`...)
 	for i, v := range s.versions(m.Name) {
 		if i > 0 {
 			b = append(b, ',')
 		}
-		b = jsonrpc.AppendText(b, v.Version)
+		b = jsonrpc.AppendString(b, v.Version)
 	}
-	b = jsonrpc.AppendText(append(b, `],"platform":`...), m.Platform)
+	b = jsonrpc.AppendString(append(b, `],"platform":`...), m.Platform)
 	for _, part := range []struct {
 		name string
 		ts   []TensorMeta
@@ -291,8 +291,8 @@
 			if i > 0 {
 				b = append(b, ',')
 			}
-			b = jsonrpc.AppendText(append(b, `{"name":`...), t.Name)
-			b = jsonrpc.AppendText(append(b, `,"datatype":`...), t.Datatype)
+			b = jsonrpc.AppendString(append(b, `{"name":`...), t.Name)
+			b = jsonrpc.AppendString(append(b, `,"datatype":`...), t.Datatype)
 			b = append(tensor.AppendShape(append(b, `,"shape":`...), t.Shape), '}')
 		}
 		b = append(b, ']')
@@ -373,18 +373,18 @@
 	r <- outcome{kind: isAborted, message: "aborted, it may have run: " + cause}
 }
 
-// Refused implements front.Reply.
-func (r reply) Refused(message string) { r <- outcome{kind: isRefused, message: message} }
+// Rejected implements front.Reply.
+func (r reply) Rejected(message string) { r <- outcome{kind: isRefused, message: message} }
 
 // ask brings an infer to the desk and waits for its answer; false: its client has left.
 func (s *Server) ask(ctx context.Context, at *peer, p front.Params, came time.Time) (outcome, bool) {
 	got := make(reply, 1)
-	var ask *front.Ask
+	var ask *front.Request
 	if !s.loop.Post(func() {
 		if at.conn == nil {
-			at.conn = s.desk.Open(limits.PeerID(0))
+			at.conn = s.desk.OpenConn(limits.PeerID(0))
 		}
-		ask = at.conn.Take(p, turn.Span(time.Since(came)), got)
+		ask = at.conn.Submit(p, turn.FromDuration(time.Since(came)), got)
 	}) {
 		got.Denied("denied: this front end has stopped", 0)
 	}
@@ -394,7 +394,7 @@
 	case <-ctx.Done():
 		s.loop.Post(func() {
 			if ask != nil {
-				ask.Leave()
+				ask.Abandon()
 			}
 		})
 		return outcome{}, false
@@ -427,7 +427,7 @@
 		return
 	}
 	most := s.o.BodyBytes
-	if bound := s.desk.MethodAt(m.Method).Bytes; bound > 0 {
+	if bound := s.desk.MethodAt(m.Method).MaxBytes; bound > 0 {
 		most = min(most, bound)
 	}
 	if r.ContentLength > most {
@@ -435,18 +435,18 @@
 		fail(w, http.StatusRequestEntityTooLarge, fmt.Sprintf("a body of %d bytes, %d are taken", r.ContentLength, most))
 		return
 	}
-	p := front.Params{Method: m.Method, Function: m.Function, Time: -1,
+	p := front.Params{Method: m.Method, Function: m.Function, TimeoutMS: -1,
 		Customer: r.Header.Get(s.o.CustomerHeader), Token: r.Header.Get(s.o.TokenHeader)}
-	client, err := keys.Find(s.o.Clients, r.TLS)
+	client, err := keys.FindClient(s.o.Clients, r.TLS)
 	if err == nil {
-		err = client.Admit(s.desk.MethodAt(m.Method).Name, &p.Customer)
+		err = client.Authorize(s.desk.MethodAt(m.Method).Name, &p.Customer)
 	}
 	if err != nil {
 		fail(w, http.StatusForbidden, err.Error())
 		return
 	}
 	if text := r.Header.Get(s.o.TimeHeader); text != "" {
-		if p.Time, err = readTime(text); err != nil {
+		if p.TimeoutMS, err = readTime(text); err != nil {
 			fail(w, http.StatusBadRequest, fmt.Sprintf("header %s %v", s.o.TimeHeader, err))
 			return
 		}
@@ -474,7 +474,7 @@
 		err = m.check(&in)
 	}
 	if err == nil {
-		err = s.desk.Check(&p)
+		err = s.desk.Validate(&p)
 	}
 	if err != nil {
 		fail(w, http.StatusBadRequest, err.Error())
--- a/internal/kserve/infer.go
+++ b/internal/kserve/infer.go
@@ -42,10 +42,10 @@
 	if !jsonrpc.Valid(body) {
 		return in, errors.New("the request is not JSON")
 	}
-	err = jsonrpc.Members(body, func(name []byte, v jsontext.Value) error {
+	err = jsonrpc.ForEachMember(body, func(name []byte, v jsontext.Value) error {
 		switch string(name) {
 		case "id":
-			text, is := jsonrpc.Text(v)
+			text, is := jsonrpc.ParseString(v)
 			if in.id = text; !is {
 				return errors.New(`"id" must be a string`)
 			}
@@ -63,7 +63,7 @@
 			})
 		case "outputs":
 			return tensor.Each(v, "outputs", func(part jsontext.Value) error {
-				name, _ := jsonrpc.Text(jsonrpc.Member(part, "name"))
+				name, _ := jsonrpc.ParseString(jsonrpc.Member(part, "name"))
 				if name == "" {
 					return errors.New("an output has no name")
 				}
@@ -86,8 +86,8 @@
 
 // readInput reads one input; its bytes come off the front of rest where it says so.
 func readInput(v jsontext.Value, rest []byte) (t tensor.Tensor, left []byte, err error) {
-	t.Name, _ = jsonrpc.Text(jsonrpc.Member(v, "name"))
-	t.Datatype, _ = jsonrpc.Text(jsonrpc.Member(v, "datatype"))
+	t.Name, _ = jsonrpc.ParseString(jsonrpc.Member(v, "name"))
+	t.Datatype, _ = jsonrpc.ParseString(jsonrpc.Member(v, "datatype"))
 	if t.Name == "" {
 		return t, rest, errors.New("an input has no name")
 	}
@@ -116,8 +116,8 @@
 
 // payload is the RPC's: what the worker gets.
 func (in *infer) payload(model, version string) (payload, blob []byte) {
-	b := jsonrpc.AppendText([]byte(`{"model":`), model)
-	b = jsonrpc.AppendText(append(b, `,"version":`...), version)
+	b := jsonrpc.AppendString([]byte(`{"model":`), model)
+	b = jsonrpc.AppendString(append(b, `,"version":`...), version)
 	if in.parameters != nil {
 		b = append(append(b, `,"parameters":`...), in.parameters...)
 	}
@@ -154,18 +154,18 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	b := jsonrpc.AppendText([]byte(`{"model_name":`), model)
-	b = jsonrpc.AppendText(append(b, `,"model_version":`...), version)
+	b := jsonrpc.AppendString([]byte(`{"model_name":`), model)
+	b = jsonrpc.AppendString(append(b, `,"model_version":`...), version)
 	if in.id != "" {
-		b = jsonrpc.AppendText(append(b, `,"id":`...), in.id)
+		b = jsonrpc.AppendString(append(b, `,"id":`...), in.id)
 	}
 	b = append(b, `,"outputs":[`...)
 	for i, o := range chosen {
 		if i > 0 {
 			b = append(b, ',')
 		}
-		b = jsonrpc.AppendText(append(b, `{"name":`...), o.Name)
-		b = jsonrpc.AppendText(append(b, `,"datatype":`...), o.Datatype)
+		b = jsonrpc.AppendString(append(b, `{"name":`...), o.Name)
+		b = jsonrpc.AppendString(append(b, `,"datatype":`...), o.Datatype)
 		b = tensor.AppendShape(append(b, `,"shape":`...), o.Shape)
 		if how[i] {
 			b = strconv.AppendInt(append(b, `,"parameters":{"binary_data_size":`...), int64(len(o.Raw)), 10)
--- a/internal/lastgood/lastgood.go
+++ b/internal/lastgood/lastgood.go
@@ -59,10 +59,10 @@
 	return d.Sync()
 }
 
-// Kept is a version as it was kept.
-type Kept struct {
+// Saved is a version as it was kept.
+type Saved struct {
 	Version uint64
-	Saved   time.Time
+	SavedAt time.Time
 	Text    string
 }
 
@@ -74,7 +74,7 @@
 
 // Save keeps a version. Once it has returned nil, Load gives this version or a later one, whatever happens to the process
 // or the machine, as far as fsync keeps its word. After an error Load gives this one or what it gave before.
-func (s *Store) Save(k Kept) error {
+func (s *Store) Save(k Saved) error {
 	f, err := s.FS.Create(s.Path + ".new")
 	if err != nil {
 		return err
@@ -103,7 +103,7 @@
 
 // Load gives the last good version: of the file, or where that is missing or spoilt, of the one before. Problems are
 // what was found on the way, one line each. Ok is false where nothing good is there.
-func (s *Store) Load() (k Kept, problems []error, ok bool) {
+func (s *Store) Load() (k Saved, problems []error, ok bool) {
 	for _, name := range []string{s.Path, s.Path + ".before"} {
 		raw, err := s.FS.ReadFile(name)
 		if errors.Is(err, fs.ErrNotExist) {
@@ -117,27 +117,27 @@
 		}
 		problems = append(problems, fmt.Errorf("%s: %w", name, err))
 	}
-	return Kept{}, problems, false
+	return Saved{}, problems, false
 }
 
-func seal(k Kept) []byte {
-	head := fmt.Sprintf("%s %d %d", magic, k.Version, k.Saved.UnixMilli())
+func seal(k Saved) []byte {
+	head := fmt.Sprintf("%s %d %d", magic, k.Version, k.SavedAt.UnixMilli())
 	sum := sha256.Sum256([]byte(head + "\n" + k.Text))
 	return fmt.Appendf(nil, "%s %x\n%s", head, sum, k.Text)
 }
 
-func open(raw []byte) (Kept, error) {
+func open(raw []byte) (Saved, error) {
 	line, text, whole := bytes.Cut(raw, []byte("\n"))
 	head, sum, sealed := cutLast(string(line))
-	var k Kept
+	var k Saved
 	var ms int64
 	if n, err := fmt.Sscanf(head, magic+" %d %d", &k.Version, &ms); !whole || !sealed || err != nil || n != 2 {
-		return Kept{}, fmt.Errorf("not a kept configuration, or cut off in its first line: %.40q", line)
+		return Saved{}, fmt.Errorf("not a kept configuration, or cut off in its first line: %.40q", line)
 	}
 	if want := sha256.Sum256([]byte(head + "\n" + string(text))); fmt.Sprintf("%x", want) != sum {
-		return Kept{}, fmt.Errorf("version %d: the seal does not fit: cut off or changed", k.Version)
+		return Saved{}, fmt.Errorf("version %d: the seal does not fit: cut off or changed", k.Version)
 	}
-	k.Saved, k.Text = time.UnixMilli(ms), string(text)
+	k.SavedAt, k.Text = time.UnixMilli(ms), string(text)
 	return k, nil
 }
 
--- a/internal/lastgood/lastgood_test.go
+++ b/internal/lastgood/lastgood_test.go
@@ -155,7 +155,7 @@
 	for crash := range 10000 {
 		f.left = rng.Intn(60)
 		for {
-			if err := s.Save(Kept{next, time.UnixMilli(int64(next)), text(next)}); err != nil {
+			if err := s.Save(Saved{next, time.UnixMilli(int64(next)), text(next)}); err != nil {
 				failed++
 				next++
 				break
@@ -170,7 +170,7 @@
 		}
 		if ok {
 			found++
-			if k.Version < promised || k.Version >= next || k.Text != text(k.Version) || k.Saved.UnixMilli() != int64(k.Version) {
+			if k.Version < promised || k.Version >= next || k.Text != text(k.Version) || k.SavedAt.UnixMilli() != int64(k.Version) {
 				t.Fatalf("crash %d: found %d, promised %d, written up to %d", crash, k.Version, promised, next-1)
 			}
 			promised = k.Version // what was found once is not lost later
@@ -189,7 +189,7 @@
 		t.Fatalf("an empty folder: %v", problems)
 	}
 	for v := range uint64(2) {
-		if err := s.Save(Kept{v + 1, time.UnixMilli(5), "<configuration/>"}); err != nil {
+		if err := s.Save(Saved{v + 1, time.UnixMilli(5), "<configuration/>"}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -228,7 +228,7 @@
 	f := &flaky{rng: rand.New(rand.NewSource(1)), left: -1, room: 400, names: map[string]*inode{}, durable: map[string]*inode{}}
 	s := &Store{FS: f, Path: "/var/last"}
 	v := uint64(1)
-	for ; s.Save(Kept{v, time.UnixMilli(1), "text"}) == nil; v++ {
+	for ; s.Save(Saved{v, time.UnixMilli(1), "text"}) == nil; v++ {
 	}
 	if k, _, ok := s.Load(); v < 2 || !ok || k.Version != v-1 {
 		t.Errorf("%v, %v after version %d failed", k, ok, v)
--- a/internal/leave/leave.go
+++ b/internal/leave/leave.go
@@ -24,19 +24,19 @@
 	cancelled     bool
 }
 
-// Bind tells that the method's settings changed while the RPC is open; see router.Stricter.
-func (r *RPC) Bind(effect, group string) {
-	r.Effect, r.Group, _ = router.Stricter(r.Effect, r.Group, 0, effect, group, 0)
+// Tighten tells that the method's settings changed while the RPC is open; see router.Stricter.
+func (r *RPC) Tighten(effect, group string) {
+	r.Effect, r.Group, _ = router.StricterEffect(r.Effect, r.Group, 0, effect, group, 0)
 }
 
-// Sent tells of a call-out.
-func (r *RPC) Sent() { r.out++ }
+// CallOutSent tells of a call-out.
+func (r *RPC) CallOutSent() { r.out++ }
 
-// Ended tells how one ended. A worker that dropped it before it began says so: Full, and never ran.
-func (r *RPC) Ended(o router.Outcome) {
+// CallOutEnded tells how one ended. A worker that dropped it before it began says so: Full, and never ran.
+func (r *RPC) CallOutEnded(o router.Outcome) {
 	r.out--
 	switch o {
-	case router.Full, router.ConnectFailed, router.Moot, router.Missed:
+	case router.Full, router.ConnectFailed, router.NotSent, router.NotLoaded:
 	default:
 		r.may = true
 	}
@@ -57,8 +57,8 @@
 	return r.final(r.may)
 }
 
-// Overdue is what it gets when its workers have been waited for long enough: what is still out may have run.
-func (r *RPC) Overdue() Verdict { return r.final(r.may || r.out > 0) }
+// VerdictOnTimeout is what it gets when its workers have been waited for long enough: what is still out may have run.
+func (r *RPC) VerdictOnTimeout() Verdict { return r.final(r.may || r.out > 0) }
 
 func (r *RPC) final(may bool) Verdict {
 	if may && (r.Effect == router.SideEffecting || r.Effect == router.Tokened && r.Group != "all") {
@@ -67,24 +67,24 @@
 	return Deny
 }
 
-// Wanted follows who wants a function: its RPCs that are open, and the load orders given for it.
-type Wanted[Order comparable] struct {
+// LoadDemand follows who wants a function: its RPCs that are open, and the load orders given for it.
+type LoadDemand[Order comparable] struct {
 	open   map[router.FunctionID]int
 	orders map[router.FunctionID][]Order
 }
 
-// NewWanted starts with nothing wanted.
-func NewWanted[Order comparable]() *Wanted[Order] {
-	return &Wanted[Order]{open: map[router.FunctionID]int{}, orders: map[router.FunctionID][]Order{}}
+// NewLoadDemand starts with nothing wanted.
+func NewLoadDemand[Order comparable]() *LoadDemand[Order] {
+	return &LoadDemand[Order]{open: map[router.FunctionID]int{}, orders: map[router.FunctionID][]Order{}}
 }
 
-// Take tells of an open RPC.
-func (w *Wanted[Order]) Take(fn router.FunctionID) { w.open[fn]++ }
+// RPCOpened tells of an open RPC.
+func (w *LoadDemand[Order]) RPCOpened(fn router.FunctionID) { w.open[fn]++ }
 
-// Close tells that an RPC is open no more. Left: its client left or cancelled, so that its wish is void; an answered
+// RPCClosed tells that an RPC is open no more. Left: its client left or cancelled, so that its wish is void; an answered
 // RPC's order may serve the next. It returns the orders that nobody wants any more, in the order in which they were
 // given.
-func (w *Wanted[Order]) Close(fn router.FunctionID, left bool) []Order {
+func (w *LoadDemand[Order]) RPCClosed(fn router.FunctionID, left bool) []Order {
 	if w.open[fn]--; w.open[fn] > 0 {
 		return nil
 	}
@@ -97,13 +97,13 @@
 	return void
 }
 
-// Ordered tells of a load order under way.
-func (w *Wanted[Order]) Ordered(fn router.FunctionID, o Order) {
+// OrderSent tells of a load order under way.
+func (w *LoadDemand[Order]) OrderSent(fn router.FunctionID, o Order) {
 	w.orders[fn] = append(w.orders[fn], o)
 }
 
-// Ended tells that an order is over.
-func (w *Wanted[Order]) Ended(fn router.FunctionID, o Order) {
+// OrderEnded tells that an order is over.
+func (w *LoadDemand[Order]) OrderEnded(fn router.FunctionID, o Order) {
 	orders := w.orders[fn]
 	for i := range orders {
 		if orders[i] == o {
--- a/internal/limits/limits.go
+++ b/internal/limits/limits.go
@@ -16,17 +16,17 @@
 	"mallowlanding/router"
 )
 
-// Bound is a most of RPCs open and of payload bytes in flight; 0: none.
-type Bound struct {
+// Limit is a most of RPCs open and of payload bytes in flight; 0: none.
+type Limit struct {
 	RPCs  int
 	Bytes int64
 }
 
 // Settings are the gate's figures.
 type Settings struct {
-	Whole, Peer, Conn Bound
-	Held              int         // RPCs of one function and one connection that the module may hold; 0: no bound
-	ComeBack          router.Time // the longest that clients are told to stay away
+	Total, Peer, Conn Limit
+	MaxHeld           int         // RPCs of one function and one connection that the module may hold; 0: no bound
+	MaxRetryAfter     router.Time // the longest that clients are told to stay away
 }
 
 // heldAll is how many times Held one connection may have held over all functions: a connection that carries many
@@ -42,14 +42,14 @@
 // PeerID is who a connection's other side is.
 type PeerID uint32
 
-// Refusal tells why an RPC is not taken, and when to come back.
-type Refusal struct {
-	Reason   string
-	ComeBack router.Time
+// Rejection tells why an RPC is not taken, and when to come back.
+type Rejection struct {
+	Reason     string
+	RetryAfter router.Time
 }
 
-// Gate is one front end's.
-type Gate struct {
+// Queue is one front end's.
+type Queue struct {
 	set      Settings
 	whole    use
 	peers    map[PeerID]*use
@@ -68,7 +68,7 @@
 
 // Conn is the handle of one connection.
 type Conn struct {
-	g      *Gate
+	g      *Queue
 	peer   PeerID
 	use    use
 	line   line
@@ -81,7 +81,7 @@
 // Ticket is the handle of one RPC at the gate.
 type Ticket struct {
 	c        *Conn
-	Body     any
+	Value    any
 	function string
 	gain     float64
 	order    uint64
@@ -92,10 +92,10 @@
 }
 
 // New makes a gate.
-func New(s Settings) *Gate { return &Gate{set: s, peers: map[PeerID]*use{}} }
+func New(s Settings) *Queue { return &Queue{set: s, peers: map[PeerID]*use{}} }
 
-// Renew takes new figures. What is open stays; where it is more than a bound now, nothing comes in until it is less.
-func (g *Gate) Renew(s Settings) {
+// UpdateSettings takes new figures. What is open stays; where it is more than a bound now, nothing comes in until it is less.
+func (g *Queue) UpdateSettings(s Settings) {
 	g.set = s
 	g.prune()
 	for _, c := range g.lines { // a bound that was raised may let some pass
@@ -103,13 +103,13 @@
 	}
 }
 
-// Open tells of a connection.
-func (g *Gate) Open(peer PeerID) *Conn { return &Conn{g: g, peer: peer, held: map[string]int{}} }
+// OpenConn tells of a connection.
+func (g *Queue) OpenConn(peer PeerID) *Conn { return &Conn{g: g, peer: peer, held: map[string]int{}} }
 
 // Waiting is the number of tickets that wait at the gate.
-func (g *Gate) Waiting() int { return g.waiting }
+func (g *Queue) Waiting() int { return g.waiting }
 
-func (u *use) full(b Bound, bytes int64) string {
+func (u *use) full(b Limit, bytes int64) string {
 	switch {
 	case b.RPCs > 0 && u.rpcs >= b.RPCs:
 		return fmt.Sprintf("%d RPCs are open", u.rpcs)
@@ -119,10 +119,10 @@
 	return ""
 }
 
-// Arrive takes an RPC: a ticket that waits, or a refusal. Where the whole front end is full, a ticket of less gain
+// Enqueue takes an RPC: a ticket that waits, or a refusal. Where the whole front end is full, a ticket of less gain
 // that still waits gives way: it is returned as displaced, refused, and the newcomer takes its place.
-func (c *Conn) Arrive(now router.Time, function string, bytes int64, gain float64, body any) (t *Ticket,
-	refused *Refusal, displaced *Ticket) {
+func (c *Conn) Enqueue(now router.Time, function string, bytes int64, gain float64, body any) (t *Ticket,
+	refused *Rejection, displaced *Ticket) {
 	g := c.g
 	peer := g.peers[c.peer]
 	if peer == nil {
@@ -135,15 +135,15 @@
 	if why := peer.full(g.set.Peer, bytes); why != "" {
 		return nil, g.refuse(why + " for this peer"), nil
 	}
-	if why := g.whole.full(g.set.Whole, bytes); why != "" {
-		if displaced = g.least(gain); displaced == nil || g.whole.rpcs > 0 && g.set.Whole.Bytes > 0 &&
-			g.whole.bytes-displaced.bytes+bytes > g.set.Whole.Bytes {
+	if why := g.whole.full(g.set.Total, bytes); why != "" {
+		if displaced = g.least(gain); displaced == nil || g.whole.rpcs > 0 && g.set.Total.Bytes > 0 &&
+			g.whole.bytes-displaced.bytes+bytes > g.set.Total.Bytes {
 			return nil, g.refuse(why + " at this front end"), nil
 		}
-		displaced.Done(now)
+		displaced.Release(now)
 	}
 	g.order++
-	t = &Ticket{c: c, Body: body, function: function, gain: gain, order: g.order, bytes: bytes}
+	t = &Ticket{c: c, Value: body, function: function, gain: gain, order: g.order, bytes: bytes}
 	for _, u := range []*use{&c.use, peer, &g.whole} {
 		u.rpcs++
 		u.bytes += bytes
@@ -161,15 +161,15 @@
 	return t, nil, displaced
 }
 
-func (g *Gate) refuse(why string) *Refusal { return &Refusal{"denied: " + why, g.ComeBack()} }
+func (g *Queue) refuse(why string) *Rejection { return &Rejection{"denied: " + why, g.RetryAfter()} }
 
-// ComeBack is when what waits now will have been answered, at the pace of late.
-func (g *Gate) ComeBack() router.Time {
-	return min(g.set.ComeBack, max(router.Time(g.pace*float64(g.whole.rpcs)), g.set.ComeBack/8))
+// RetryAfter is when what waits now will have been answered, at the pace of late.
+func (g *Queue) RetryAfter() router.Time {
+	return min(g.set.MaxRetryAfter, max(router.Time(g.pace*float64(g.whole.rpcs)), g.set.MaxRetryAfter/8))
 }
 
 // least is the waiting ticket of least gain, the latest of those, if it is less than gain.
-func (g *Gate) least(gain float64) (worst *Ticket) {
+func (g *Queue) least(gain float64) (worst *Ticket) {
 	g.prune()
 	for _, c := range g.lines {
 		for _, t := range c.line {
@@ -182,7 +182,7 @@
 }
 
 // prune forgets connections with nothing waiting.
-func (g *Gate) prune() {
+func (g *Queue) prune() {
 	g.lines = slices.DeleteFunc(g.lines, func(c *Conn) bool {
 		c.inLine = len(c.line) > 0
 		return !c.inLine
@@ -190,7 +190,7 @@
 }
 
 // queue puts a connection into the order of turns, where it has what may pass.
-func (g *Gate) queue(c *Conn) {
+func (g *Queue) queue(c *Conn) {
 	if !c.inTurn && len(c.line) > 0 && c.mayPass() {
 		c.inTurn = true
 		g.turns = append(g.turns, c)
@@ -198,12 +198,12 @@
 }
 
 func (c *Conn) mayPass() bool {
-	h := c.g.set.Held
+	h := c.g.set.MaxHeld
 	return h == 0 || c.all < heldAll*h && c.held[c.line[0].function] < h
 }
 
 // Next hands out the ticket whose turn it is; nil: none may pass now. It counts as held by the module.
-func (g *Gate) Next() *Ticket {
+func (g *Queue) Next() *Ticket {
 	for len(g.turns) > 0 {
 		c := g.turns[0]
 		g.turns = append(g.turns[:0], g.turns[1:]...)
@@ -213,18 +213,18 @@
 		}
 		t := heap.Pop(&c.line).(*Ticket)
 		g.waiting--
-		t.Held(true)
+		t.SetHeld(true)
 		g.queue(c) // its next turn comes after all others'
 		return t
 	}
 	return nil
 }
 
-// Ready tells whether Next has a ticket.
-func (g *Gate) Ready() bool { return len(g.turns) > 0 }
+// HasNext tells whether Next has a ticket.
+func (g *Queue) HasNext() bool { return len(g.turns) > 0 }
 
-// Held tells whether the module holds the RPC, or it is at a worker.
-func (t *Ticket) Held(held bool) {
+// SetHeld tells whether the module holds the RPC, or it is at a worker.
+func (t *Ticket) SetHeld(held bool) {
 	if t.done || t.held == held || t.at > 0 {
 		return
 	}
@@ -240,11 +240,11 @@
 	c.g.queue(c)
 }
 
-// Passed tells whether the ticket has had its turn.
-func (t *Ticket) Passed() bool { return t.at == 0 }
+// Admitted tells whether the ticket has had its turn.
+func (t *Ticket) Admitted() bool { return t.at == 0 }
 
-// Done gives the ticket back: its RPC is answered, or nobody waits for it any more.
-func (t *Ticket) Done(now router.Time) {
+// Release gives the ticket back: its RPC is answered, or nobody waits for it any more.
+func (t *Ticket) Release(now router.Time) {
 	if t.done {
 		return
 	}
@@ -253,7 +253,7 @@
 		heap.Remove(&c.line, t.at-1)
 		g.waiting--
 	} else {
-		t.Held(false)
+		t.SetHeld(false)
 		if g.lastDone > 0 {
 			g.pace += (float64(now-g.lastDone) - g.pace) * paceFade
 		}
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -32,7 +32,7 @@
 }
 
 func play(t *testing.T, steps string) {
-	var g *Gate
+	var g *Queue
 	now := router.Time(0)
 	conns, tickets, names := map[string]*Conn{}, map[string]*Ticket{}, map[*Ticket]string{}
 	last := "" // what the last arrival led to, and was not looked at
@@ -63,16 +63,16 @@
 		}
 		switch f[0] {
 		case "gate":
-			g = New(Settings{Whole: Bound{n("whole", 0), int64(n("whole-bytes", 0))},
-				Peer: Bound{n("peer", 0), int64(n("peer-bytes", 0))}, Conn: Bound{n("conn", 0), int64(n("conn-bytes", 0))},
-				Held: n("held", 0), ComeBack: router.Time(n("come-back", 0)) * 10})
+			g = New(Settings{Total: Limit{n("whole", 0), int64(n("whole-bytes", 0))},
+				Peer: Limit{n("peer", 0), int64(n("peer-bytes", 0))}, Conn: Limit{n("conn", 0), int64(n("conn-bytes", 0))},
+				MaxHeld: n("held", 0), MaxRetryAfter: router.Time(n("come-back", 0)) * 10})
 		case "at":
 			ms, _ := strconv.Atoi(f[1])
 			now = router.Time(ms) * 10
 		case "arrive":
 			c := conns[o["on"]]
 			if c == nil {
-				c = g.Open(PeerID(n("peer", 0)))
+				c = g.OpenConn(PeerID(n("peer", 0)))
 				conns[o["on"]] = c
 			}
 			for k := range n("times", 1) {
@@ -80,9 +80,9 @@
 				if o["times"] != "" {
 					name += strconv.Itoa(k + 1)
 				}
-				ticket, refused, displaced := c.Arrive(now, o["fn"], int64(n("bytes", 0)), float64(n("gain", 1)), name)
+				ticket, refused, displaced := c.Enqueue(now, o["fn"], int64(n("bytes", 0)), float64(n("gain", 1)), name)
 				if refused != nil {
-					last = fmt.Sprintf("refused %s; %d ms", refused.Reason, refused.ComeBack/10)
+					last = fmt.Sprintf("refused %s; %d ms", refused.Reason, refused.RetryAfter/10)
 					continue
 				}
 				tickets[name], names[ticket] = ticket, name
@@ -107,11 +107,11 @@
 				fail("%s", g)
 			}
 		case "out":
-			tickets[f[1]].Held(false)
+			tickets[f[1]].SetHeld(false)
 		case "held":
-			tickets[f[1]].Held(true)
+			tickets[f[1]].SetHeld(true)
 		case "done":
-			tickets[f[1]].Done(now)
+			tickets[f[1]].Release(now)
 		case "waiting":
 			if g.Waiting() != mustInt(f[1]) {
 				fail("%d wait", g.Waiting())
@@ -135,19 +135,19 @@
 
 // BenchmarkGate is one RPC past a gate at which ten thousand wait.
 func BenchmarkGate(b *testing.B) {
-	g := New(Settings{Held: 16})
-	flood, one := g.Open(1), g.Open(2)
+	g := New(Settings{MaxHeld: 16})
+	flood, one := g.OpenConn(1), g.OpenConn(2)
 	for range 10000 {
-		flood.Arrive(0, "f", 100, 1, nil)
+		flood.Enqueue(0, "f", 100, 1, nil)
 	}
 	for t := g.Next(); t != nil; t = g.Next() {
 	}
 	b.ReportAllocs()
 	for range b.N {
-		t, _, _ := one.Arrive(1, "f", 100, 1, nil)
+		t, _, _ := one.Enqueue(1, "f", 100, 1, nil)
 		if g.Next() != t {
 			b.Fatal("it waits behind the flood")
 		}
-		t.Done(2)
+		t.Release(2)
 	}
 }
--- a/internal/links/link.go
+++ b/internal/links/link.go
@@ -30,25 +30,25 @@
 
 // Error codes of workers' answers. All but Failed and CalledOff prove that the RPC never ran.
 const (
-	Full      = -32010 // not taken: no place, no memory, or the worker drains
-	Missed    = -32011 // not loaded there, or its load failed, before it ran
-	Failed    = -32012 // it ran, or began to, and failed
-	CalledOff = -32013 // called off; it may have run
-	LoadError = -32014 // a load order's load failed
+	Full       = -32010 // not taken: no place, no memory, or the worker drains
+	NotLoaded  = -32011 // not loaded there, or its load failed, before it ran
+	Failed     = -32012 // it ran, or began to, and failed
+	Cancelled  = -32013 // called off; it may have run
+	LoadFailed = -32014 // a load order's load failed
 )
 
-// Version is the protocol's, as client.ready states it.
-const Version = 1
+// ProtocolVersion is the protocol's, as client.ready states it.
+const ProtocolVersion = 1
 
 // Options are the settings of all links of a front end.
 type Options struct {
 	FrontEnd       string
-	ConnectTimeOut time.Duration                                  // a worker that has not said client.ready by then is out of reach
+	ConnectTimeout time.Duration                                  // a worker that has not said client.ready by then is out of reach
 	ValueBytes     int                                            // bytes of one JSON value from a worker
-	SendBytes      int                                            // bytes that wait for a worker that reads slowly; call-outs beyond are not taken
+	QueuedBytes    int                                            // bytes that wait for a worker that reads slowly; call-outs beyond are not taken
 	RedialMin      time.Duration                                  // first pause before a new connection, doubling
 	RedialMax      time.Duration                                  // last one
-	Wrap           func(worker string, l engine.Link) engine.Link // nil: links go to the engine as they are
+	WrapLink       func(worker string, l engine.Link) engine.Link // nil: links go to the engine as they are
 	Log            zerolog.Logger
 }
 
@@ -63,7 +63,7 @@
 	dirty  []*stream // written to in this turn
 
 	now     router.Time
-	batches *batch.Lines[riders, engine.CallOutID]
+	batches *batch.Batcher[riders, engine.CallOutID]
 	waiting map[engine.CallOutID]rider // in a batch that has not left
 }
 
@@ -87,8 +87,8 @@
 // Wait returns once all links' goroutines have ended, after the context's end.
 func (s *Set) Wait() { _ = s.group.Wait() }
 
-// Want has a link to the worker kept up; id is the worker's at the engine.
-func (s *Set) Want(name, socket string, id router.WorkerID) {
+// Add has a link to the worker kept up; id is the worker's at the engine.
+func (s *Set) Add(name, socket string, id router.WorkerID) {
 	l := s.links[name]
 	if l != nil && l.socket == socket && l.ctx.Err() == nil {
 		l.wanted = true
@@ -100,19 +100,19 @@
 	l = &Link{s: s, name: name, socket: socket, id: id, wanted: true, sent: map[string]flight{}}
 	l.ctx, l.cancel = context.WithCancel(s.ctx)
 	s.links[name] = l
-	s.engine.Connect(name, s.wrapped(l))
+	s.engine.SetLink(name, s.wrapped(l))
 	s.group.Go(func() error { l.run(); return nil })
 }
 
 func (s *Set) wrapped(l *Link) engine.Link {
-	if s.o.Wrap != nil {
-		return s.o.Wrap(l.name, l)
+	if s.o.WrapLink != nil {
+		return s.o.WrapLink(l.name, l)
 	}
 	return l
 }
 
-// Unwant lets go of the link once nothing is out on it.
-func (s *Set) Unwant(name string) {
+// Remove lets go of the link once nothing is out on it.
+func (s *Set) Remove(name string) {
 	if l := s.links[name]; l != nil {
 		l.wanted = false
 		l.retire()
@@ -155,7 +155,7 @@
 
 // stream is what goes out on one connection; nothing handed to it ever goes out on another.
 type stream struct {
-	now     sock.Writer
+	now     sock.Socket
 	binary  bool   // the loop's: the codec agreed on
 	batches bool   // the loop's: the worker takes host.batch
 	total   uint64 // the loop's: bytes handed to the writer
@@ -180,10 +180,10 @@
 
 // Send implements engine.Link.
 func (l *Link) Send(id engine.CallOutID, p *engine.RPC, left, _ router.Time) {
-	if p.Method.Batch > 1 && l.up != nil && l.up.binary && l.up.batches {
+	if p.Method.MaxBatch > 1 && l.up != nil && l.up.binary && l.up.batches {
 		s := l.s
 		s.waiting[id] = rider{l, p, s.now, left}
-		s.sendBatch(s.batches.Add(s.now, riders{l.name, p.Function}, id, p.Method.Batch, p.Method.Wait, p.Soft-s.now))
+		s.sendBatch(s.batches.Add(s.now, riders{l.name, p.Function}, id, p.Method.MaxBatch, p.Method.BatchWait, p.SoftDeadline-s.now))
 		return
 	}
 	l.askWith(string(jsonrpc.NumberID(uint64(id))), "host.request", requestParams(p, left), p.Blob, l.flightOf(id))
@@ -193,7 +193,7 @@
 func (l *Link) flightOf(id engine.CallOutID) flight {
 	return flight{
 		ended: func(o router.Outcome, cause string) {
-			l.s.engine.Answered(id, l.id, o, router.Untold, 0, nil, []byte(cause), nil)
+			l.s.engine.CallOutEnded(id, l.id, o, router.WarmthUnknown, 0, nil, []byte(cause), nil)
 		},
 		answer: func(a answer) { l.answered(id, a) },
 	}
@@ -202,7 +202,7 @@
 // sendBatch sends what rides together, each under its own id; one alone goes as it would without.
 func (s *Set) sendBatch(ids []engine.CallOutID) {
 	ids = slices.DeleteFunc(ids, func(id engine.CallOutID) bool {
-		over := !s.engine.Out(id) // its time was up meanwhile: this front end stood still
+		over := !s.engine.CallOutOpen(id) // its time was up meanwhile: this front end stood still
 		if over {
 			delete(s.waiting, id)
 		}
@@ -246,15 +246,15 @@
 	l.write("", "host.batch", append(b, "]}"...), blob)
 }
 
-// Begin tells the time of a turn.
-func (s *Set) Begin(now router.Time) { s.now = now }
+// BeginTurn tells the time of a turn.
+func (s *Set) BeginTurn(now router.Time) { s.now = now }
 
-// Due tells when a batch leaves.
-func (s *Set) Due() (router.Time, bool) { return s.batches.Due() }
+// NextDue tells when a batch leaves.
+func (s *Set) NextDue() (router.Time, bool) { return s.batches.NextDue() }
 
-// Leave sends the batches whose wait is over; it may be called in a turn alone, before Flush.
-func (s *Set) Leave() {
-	for _, ids := s.batches.Leave(s.now); ids != nil; _, ids = s.batches.Leave(s.now) {
+// SendDueBatches sends the batches whose wait is over; it may be called in a turn alone, before Flush.
+func (s *Set) SendDueBatches() {
+	for _, ids := s.batches.PopDue(s.now); ids != nil; _, ids = s.batches.PopDue(s.now) {
 		s.sendBatch(ids)
 	}
 }
@@ -262,29 +262,29 @@
 // requestParams are a request's, for a client that waits so long.
 func requestParams(p *engine.RPC, left router.Time) []byte {
 	b := append(make([]byte, 0, 256+len(p.Payload)), `{"method":`...)
-	b = jsonrpc.AppendText(b, p.Method.Name)
-	b = jsonrpc.AppendText(append(b, `,"function":`...), p.Function)
+	b = jsonrpc.AppendString(b, p.Method.Name)
+	b = jsonrpc.AppendString(append(b, `,"function":`...), p.Function)
 	if p.Token != "" {
-		b = jsonrpc.AppendText(append(b, `,"token":`...), p.Token)
+		b = jsonrpc.AppendString(append(b, `,"token":`...), p.Token)
 	}
 	b = strconv.AppendFloat(append(b, `,"time_ms":`...), float64(left)/10, 'f', 1, 64)
-	b = appendFunction(b, p.Fn)
+	b = appendFunction(b, p.Spec)
 	if len(p.Payload) > 0 {
 		b = append(append(b, `,"payload":`...), p.Payload...)
 	}
 	return append(b, '}')
 }
 
-func appendFunction(b []byte, fn engine.Function) []byte {
-	b = strconv.AppendFloat(append(b, `,"memory_mb":`...), fn.Memory, 'f', -1, 64)
+func appendFunction(b []byte, fn engine.FunctionSpec) []byte {
+	b = strconv.AppendFloat(append(b, `,"memory_mb":`...), fn.MemoryMB, 'f', -1, 64)
 	b = strconv.AppendInt(append(b, `,"lanes":`...), int64(fn.Lanes), 10)
-	return strconv.AppendFloat(append(b, `,"load_ms":`...), float64(fn.Load)/10, 'f', -1, 64)
+	return strconv.AppendFloat(append(b, `,"load_ms":`...), float64(fn.LoadTime)/10, 'f', -1, 64)
 }
 
-// CallOff implements engine.Link.
-func (l *Link) CallOff(id engine.CallOutID) {
+// CancelCallOut implements engine.Link.
+func (l *Link) CancelCallOut(id engine.CallOutID) {
 	if r, waits := l.s.waiting[id]; waits { // it has not left: it never ran
-		l.s.batches.Drop(riders{l.name, r.p.Function}, id)
+		l.s.batches.Remove(riders{l.name, r.p.Function}, id)
 		delete(l.s.waiting, id)
 		l.s.loop.Post(func() { l.flightOf(id).ended(router.Full, "called off before it left") })
 		return
@@ -295,19 +295,19 @@
 	}
 }
 
-// Unhold implements engine.Link.
-func (l *Link) Unhold(id engine.OrderID) {
+// CancelLoadOrder implements engine.Link.
+func (l *Link) CancelLoadOrder(id engine.OrderID) {
 	if l.up != nil {
 		l.tell("host.call_off", append(strconv.AppendUint([]byte(`{"id":"o`), uint64(id), 10), `"}`...))
 	}
 }
 
-// Hold implements engine.Link.
-func (l *Link) Hold(id engine.OrderID, function string, fn engine.Function, copies int, _ router.Time) {
-	b := appendFunction(jsonrpc.AppendText([]byte(`{"function":`), function), fn)
+// OrderLoad implements engine.Link.
+func (l *Link) OrderLoad(id engine.OrderID, function string, fn engine.FunctionSpec, copies int, _ router.Time) {
+	b := appendFunction(jsonrpc.AppendString([]byte(`{"function":`), function), fn)
 	b = append(strconv.AppendInt(append(b, `,"copies":`...), int64(copies), 10), '}')
 	l.ask(`"o`+strconv.FormatUint(uint64(id), 10)+`"`, "host.hold", b, flight{
-		ended: func(o router.Outcome, _ string) { l.s.engine.Held(id, o, 0) },
+		ended: func(o router.Outcome, _ string) { l.s.engine.LoadOrderEnded(id, o, 0) },
 		answer: func(a answer) {
 			o := router.Errored
 			switch a.code {
@@ -316,7 +316,7 @@
 			case Full:
 				o = router.Full
 			}
-			l.s.engine.Held(id, o, a.copies)
+			l.s.engine.LoadOrderEnded(id, o, a.copies)
 		},
 	})
 }
@@ -324,13 +324,13 @@
 // Check implements engine.Link.
 func (l *Link) Check(id engine.CheckID) {
 	l.ask(`"c`+strconv.FormatUint(uint64(id), 10)+`"`, "host.ping", nil, flight{
-		ended: func(o router.Outcome, _ string) { l.s.engine.Checked(id, o, nil) },
+		ended: func(o router.Outcome, _ string) { l.s.engine.CheckEnded(id, o, nil) },
 		answer: func(a answer) {
 			if a.code != 0 {
-				l.s.engine.Checked(id, router.Errored, nil)
+				l.s.engine.CheckEnded(id, router.Errored, nil)
 				return
 			}
-			l.s.engine.Checked(id, router.OK, a.report)
+			l.s.engine.CheckEnded(id, router.OK, a.report)
 		},
 	})
 }
@@ -348,7 +348,7 @@
 		h := &heldAsk{ask: func() { l.askWith(id, method, params, blob, f) },
 			expire: func() { f.ended(router.ConnectFailed, "no connection to "+l.name) }}
 		l.held = append(l.held, h)
-		time.AfterFunc(l.s.o.ConnectTimeOut, func() {
+		time.AfterFunc(l.s.o.ConnectTimeout, func() {
 			l.s.loop.Post(func() {
 				if at := slices.Index(l.held, h); at >= 0 {
 					l.held = slices.Delete(l.held, at, at+1)
@@ -359,7 +359,7 @@
 		})
 		return
 	}
-	if l.up.waiting() > l.s.o.SendBytes {
+	if l.up.waiting() > l.s.o.QueuedBytes {
 		l.s.loop.Post(func() { f.ended(router.Full, l.name+" reads too slowly") })
 		return
 	}
@@ -414,7 +414,7 @@
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	if !st.writing && !st.ended && len(st.out) > 0 {
-		n := st.now.Try(st.out)
+		n := st.now.TryWrite(st.out)
 		st.written += uint64(n)
 		st.out = st.out[:copy(st.out, st.out[n:])]
 	}
@@ -429,34 +429,34 @@
 		if a.value == nil {
 			a.value = []byte("null")
 		}
-		l.s.engine.Answered(id, l.id, router.OK, a.warmth, a.crowd, a.report, a.value, a.blob)
+		l.s.engine.CallOutEnded(id, l.id, router.OK, a.warmth, a.crowd, a.report, a.value, a.blob)
 		return
 	}
 	if a.message == "" {
 		a.message = "error " + strconv.Itoa(a.code)
 	}
-	l.s.engine.Answered(id, l.id, Outcome(a.code), a.warmth, a.crowd, a.report, []byte(l.name+": "+a.message), nil)
+	l.s.engine.CallOutEnded(id, l.id, OutcomeOf(a.code), a.warmth, a.crowd, a.report, []byte(l.name+": "+a.message), nil)
 }
 
-// Outcome is what a worker's code tells of an RPC; codes that we don't know prove nothing.
-func Outcome(code int) router.Outcome {
+// OutcomeOf is what a worker's code tells of an RPC; codes that we don't know prove nothing.
+func OutcomeOf(code int) router.Outcome {
 	switch code {
 	case 0:
 		return router.OK
 	case Full:
 		return router.Full
-	case Missed:
-		return router.Missed
-	case CalledOff:
-		return router.CalledOff
+	case NotLoaded:
+		return router.NotLoaded
+	case Cancelled:
+		return router.Cancelled
 	}
 	return router.Errored
 }
 
-// Warmth is what a worker's word tells of the copy.
-func Warmth(word string) router.Warmth { return warmths[word] }
+// ParseWarmth is what a worker's word tells of the copy.
+func ParseWarmth(word string) router.Warmth { return warmths[word] }
 
-var warmths = map[string]router.Warmth{"stood": router.StoodWarm, "began": router.BeganLoad,
+var warmths = map[string]router.Warmth{"stood": router.AlreadyWarm, "began": router.StartedLoad,
 	"joined": router.JoinedLoad, "load failed": router.LoadFailed}
 
 // read takes what an answer's object tells.
@@ -464,20 +464,20 @@
 	if len(object) == 0 || object[0] != '{' {
 		return
 	}
-	_ = jsonrpc.Members(object, func(name []byte, v jsontext.Value) error {
+	_ = jsonrpc.ForEachMember(object, func(name []byte, v jsontext.Value) error {
 		switch string(name) {
 		case "value":
 			a.value = bytes.Clone(v)
 		case "warmth":
-			word, _ := jsonrpc.Text(v)
+			word, _ := jsonrpc.ParseString(v)
 			a.warmth = warmths[word]
 		case "crowd":
-			n, _ := jsonrpc.Number(v)
+			n, _ := jsonrpc.ParseNumber(v)
 			a.crowd = int(min(max(n, 0), 1e6))
 		case "report":
-			a.report, _ = jsonrpc.Numbers(v)
+			a.report, _ = jsonrpc.ParseNumbers(v)
 		case "copies":
-			n, _ := jsonrpc.Number(v)
+			n, _ := jsonrpc.ParseNumber(v)
 			a.copies = int(min(max(n, 0), 1000))
 		}
 		return nil
@@ -510,16 +510,16 @@
 
 // connect serves one connection to its end; ready: the worker was ready on it.
 func (l *Link) connect() (ready bool, err error) {
-	nc, err := (&net.Dialer{Timeout: l.s.o.ConnectTimeOut}).DialContext(l.ctx, "unix", l.socket)
+	nc, err := (&net.Dialer{Timeout: l.s.o.ConnectTimeout}).DialContext(l.ctx, "unix", l.socket)
 	if err != nil {
 		return false, err
 	}
 	stop := context.AfterFunc(l.ctx, func() { nc.Close() })
 	defer stop()
-	st := &stream{now: sock.NewWriter(nc)}
+	st := &stream{now: sock.NewSocket(nc)}
 	st.more = sync.NewCond(&st.mu)
 	p := &peer{l: l, nc: nc, st: st}
-	if err := nc.SetReadDeadline(time.Now().Add(l.s.o.ConnectTimeOut)); err != nil {
+	if err := nc.SetReadDeadline(time.Now().Add(l.s.o.ConnectTimeout)); err != nil {
 		nc.Close()
 		return false, err
 	}
@@ -529,7 +529,7 @@
 	go func() { defer close(writer); st.send(nc) }()
 	for p.err == nil {
 		if p.binary {
-			if err := frames.Read(r.Rest(), l.s.o.ValueBytes, p); err != nil {
+			if err := frames.Read(r.Remaining(), l.s.o.ValueBytes, p); err != nil {
 				p.err = err
 			}
 			continue
@@ -587,10 +587,10 @@
 func (l *Link) ready(st *stream, binary, batches bool) {
 	l.up, l.sent = st, map[string]flight{}
 	if binary {
-		l.tell("host.codec", append(jsonrpc.AppendText([]byte(`{"codec":`), frames.Name), '}'))
+		l.tell("host.codec", append(jsonrpc.AppendString([]byte(`{"codec":`), frames.CodecName), '}'))
 		st.binary, st.batches = true, batches
 	}
-	l.tell("host.ping", append(jsonrpc.AppendText([]byte(`{"front_end":`), l.s.o.FrontEnd), '}'))
+	l.tell("host.ping", append(jsonrpc.AppendString([]byte(`{"front_end":`), l.s.o.FrontEnd), '}'))
 	held := l.held
 	l.held = nil
 	for _, h := range held {
@@ -609,7 +609,7 @@
 	}
 	slices.Sort(unsent)
 	for _, id := range unsent {
-		l.s.batches.Drop(riders{l.name, l.s.waiting[id].p.Function}, id)
+		l.s.batches.Remove(riders{l.name, l.s.waiting[id].p.Function}, id)
 		delete(l.s.waiting, id)
 		l.flightOf(id).ended(router.ConnectFailed, "connection to "+l.name+" lost before it left")
 	}
@@ -628,7 +628,7 @@
 
 // peer reads one connection.
 type peer struct {
-	jsonrpc.Singly
+	jsonrpc.IgnoreBatches
 	l      *Link
 	nc     net.Conn
 	st     *stream
@@ -637,28 +637,28 @@
 	err    error
 }
 
-// Broken implements jsonrpc.Peer: what comes after nonsense can't be trusted.
-func (p *peer) Broken(_ jsonrpc.ID, _ int, message string) {
+// HandleInvalid implements jsonrpc.Peer: what comes after nonsense can't be trusted.
+func (p *peer) HandleInvalid(_ jsonrpc.ID, _ int, message string) {
 	p.err = fmt.Errorf("nonsense from worker %s: %s", p.l.name, message)
 }
 
-// Asked implements jsonrpc.Peer.
-func (p *peer) Asked(_ jsonrpc.ID, method string, params []byte) {
+// HandleRequest implements jsonrpc.Peer.
+func (p *peer) HandleRequest(_ jsonrpc.ID, method string, params []byte) {
 	l := p.l
 	switch method {
 	case "client.ready":
 		worker, version, offered, batches := "", 0.0, false, false
 		if len(params) > 0 && params[0] == '{' {
-			_ = jsonrpc.Members(params, func(name []byte, v jsontext.Value) error {
+			_ = jsonrpc.ForEachMember(params, func(name []byte, v jsontext.Value) error {
 				switch string(name) {
 				case "worker":
-					worker, _ = jsonrpc.Text(v)
+					worker, _ = jsonrpc.ParseString(v)
 				case "protocol":
-					version, _ = jsonrpc.Number(v)
+					version, _ = jsonrpc.ParseNumber(v)
 				case "batches":
 					batches = v.Kind() == 't'
 				case "codecs":
-					offered = bytes.Contains(v, []byte(`"`+frames.Name+`"`))
+					offered = bytes.Contains(v, []byte(`"`+frames.CodecName+`"`))
 				}
 				return nil
 			})
@@ -666,8 +666,8 @@
 		switch {
 		case worker != l.name:
 			p.err = fmt.Errorf("worker %.80q answers where %q should", worker, l.name)
-		case version != Version:
-			p.err = fmt.Errorf("worker %s speaks protocol %v, not %d", l.name, version, Version)
+		case version != ProtocolVersion:
+			p.err = fmt.Errorf("worker %s speaks protocol %v, not %d", l.name, version, ProtocolVersion)
 		case p.ready:
 			p.err = fmt.Errorf("worker %s was ready before", l.name)
 		default:
@@ -682,24 +682,26 @@
 	}
 }
 
-// Answered implements jsonrpc.Peer.
-func (p *peer) Answered(id jsonrpc.ID, result []byte, code int, message string, data []byte) {
+// HandleResponse implements jsonrpc.Peer.
+func (p *peer) HandleResponse(id jsonrpc.ID, result []byte, code int, message string, data []byte) {
 	var blob []byte
-	if text, is := jsonrpc.Text(jsonrpc.Member(result, "blob")); is {
+	if text, is := jsonrpc.ParseString(jsonrpc.Member(result, "blob")); is {
 		var err error
 		if blob, err = base64.StdEncoding.DecodeString(text); err != nil {
 			p.err = fmt.Errorf("worker %s: blob: %w", p.l.name, err)
 			return
 		}
 	}
-	p.AnsweredWith(id, result, code, message, data, blob)
+	p.HandleResponseBlob(id, result, code, message, data, blob)
 }
 
-// AskedWith implements frames.Peer.
-func (p *peer) AskedWith(id []byte, method string, params, _ []byte) { p.Asked(id, method, params) }
+// HandleRequestBlob implements frames.Peer.
+func (p *peer) HandleRequestBlob(id []byte, method string, params, _ []byte) {
+	p.HandleRequest(id, method, params)
+}
 
-// AnsweredWith implements frames.Peer.
-func (p *peer) AnsweredWith(id []byte, result []byte, code int, message string, data, blob []byte) {
+// HandleResponseBlob implements frames.Peer.
+func (p *peer) HandleResponseBlob(id []byte, result []byte, code int, message string, data, blob []byte) {
 	l, key := p.l, string(id)
 	a := answer{code: code, message: message, blob: blob}
 	a.read(result)
--- a/internal/measure/config.go
+++ b/internal/measure/config.go
@@ -111,22 +111,22 @@
 	if _, _, err := c.Leader(ctx); err != nil {
 		return nil, nil, err
 	}
-	var fleet []*steer.Steer
+	var fleet []*steer.Client
 	for i := range n {
 		o := steer.Options{Name: fmt.Sprintf("f%d", i), Sockets: sockets,
-			Keep:      lastgood.Store{FS: lastgood.Disk{}, Path: filepath.Join(dir, fmt.Sprintf("f%d.kept", i))},
-			RedialMin: 20 * time.Millisecond, RedialMax: 200 * time.Millisecond, FiguresEvery: 500 * time.Millisecond,
+			Store:     lastgood.Store{FS: lastgood.Disk{}, Path: filepath.Join(dir, fmt.Sprintf("f%d.kept", i))},
+			RedialMin: 20 * time.Millisecond, RedialMax: 200 * time.Millisecond, ReportInterval: 500 * time.Millisecond,
 			Check: func(v uint64, text string) (steer.Change, error) {
 				_, err := settings.ReadConfiguration(fmt.Sprintf("version %d", v), strings.NewReader(text))
 				return checked{}, err
 			}, Log: zerolog.Nop()}
-		s := steer.New(o, steer.Boot{From: "own settings"})
+		s := steer.New(o, steer.Initial{Source: "own settings"})
 		fleet = append(fleet, s)
 		running.Go(func() error { return s.Run(ctx) })
 	}
 	until := func(what string, is func(steer.Status) bool) error {
 		for give := time.Now().Add(30 * time.Second); ; time.Sleep(200 * time.Microsecond) {
-			if !slices.ContainsFunc(fleet, func(s *steer.Steer) bool { return !is(s.Status()) }) {
+			if !slices.ContainsFunc(fleet, func(s *steer.Client) bool { return !is(s.Status()) }) {
 				return nil
 			}
 			if time.Now().After(give) || ctx.Err() != nil {
@@ -144,7 +144,7 @@
 			return nil, nil, err
 		}
 		numbered = append(numbered, time.Since(begin))
-		if err := until(fmt.Sprintf("at version %d", v), func(s steer.Status) bool { return s.Version >= v && s.Kept }); err != nil {
+		if err := until(fmt.Sprintf("at version %d", v), func(s steer.Status) bool { return s.Version >= v && s.Saved }); err != nil {
 			return nil, nil, err
 		}
 		all = append(all, time.Since(begin))
@@ -222,7 +222,7 @@
 			if err != nil {
 				return err
 			}
-			if s.Config != nil && s.Config.Version == v && s.Config.Kept {
+			if s.Config != nil && s.Config.Version == v && s.Config.Saved {
 				turns = append(turns, s.Config.AppliedUs)
 				applied = append(applied, time.Since(begin))
 				break
--- a/internal/measure/flood.go
+++ b/internal/measure/flood.go
@@ -70,7 +70,7 @@
 	begin := time.Now()
 	var again func(n int)
 	again = func(n int) {
-		neighbour.Ask("query", params(n%o.Functions), func(a jsonrpc.Answer) {
+		neighbour.CallAsync("query", params(n%o.Functions), func(a jsonrpc.Response) {
 			if a.Err == nil && time.Since(begin) < o.Span {
 				if a.Code == 0 {
 					done.Add(1)
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -221,7 +221,7 @@
 			}
 		}
 		wait.Add(1)
-		y.conns[n%len(y.conns)].Ask(y.method, y.params(n%o.Functions), func(a jsonrpc.Answer) {
+		y.conns[n%len(y.conns)].CallAsync(y.method, y.params(n%o.Functions), func(a jsonrpc.Response) {
 			took := time.Since(due).Microseconds()
 			if a.Err != nil || a.Code != 0 {
 				failed.Add(1)
--- a/internal/pebble/serve.go
+++ b/internal/pebble/serve.go
@@ -21,11 +21,11 @@
 var (
 	outcomes = map[uint8]router.Outcome{
 		10: router.OK, 20: router.Errored, 30: router.Full, 40: router.TimedOut, 50: router.ConnectFailed,
-		60: router.Reset, 70: router.CalledOff, 80: router.Moot, 90: router.Missed,
+		60: router.Reset, 70: router.Cancelled, 80: router.NotSent, 90: router.NotLoaded,
 	}
 	readiness = map[uint8]router.Readiness{0: router.Gone, 1: router.Ready, 2: router.Draining}
-	forms     = map[uint8]router.ListForm{
-		0: router.Changes, 1: router.Whole, 2: router.Cached, 3: router.Failed,
+	forms     = map[uint8]router.ListUpdate{
+		0: router.ListChanges, 1: router.ListComplete, 2: router.ListCached, 3: router.ListFailed,
 	}
 	errUnknown = errors.New("unknown value")
 )
@@ -43,7 +43,7 @@
 type instance struct {
 	h      *host
 	number uint16
-	router *core.Core
+	router *core.FrontEndRouter
 }
 
 // Serve answers batches until the end of input.
@@ -129,7 +129,7 @@
 	for i, in := range touched {
 		if h.instances[in.number] == in && !seen(touched[:i], in) {
 			number = in.number
-			in.router.Settle(h.now)
+			in.router.Dispatch(h.now)
 		}
 	}
 	return nil, nil
@@ -168,7 +168,7 @@
 	if r.err != nil {
 		return nil, r.err
 	}
-	s, err := site.Settings(text)
+	s, err := site.Parse(text)
 	if err != nil {
 		return nil, err
 	}
@@ -196,7 +196,7 @@
 	switch code {
 	case 10:
 		if token := r.u64(); in != nil && r.err == nil {
-			in.router.Reminded(h.now, token)
+			in.router.TimerFired(h.now, token)
 		}
 	case 30:
 		h.result(in, r)
@@ -204,7 +204,7 @@
 		o, fn, w, n := r.outcome(), r.u64(), r.u32(), r.u8()
 		delay := r.u64()
 		if in != nil && r.err == nil {
-			in.router.Held(h.now, router.WorkerID(w), router.FunctionID(fn), o, int(n), span(delay))
+			in.router.LoadOrderEnded(h.now, router.WorkerID(w), router.FunctionID(fn), o, int(n), span(delay))
 		}
 	case 50:
 		r.take(4 + 4 + 8 + 1) // streams are no kind of method here
@@ -212,11 +212,11 @@
 		o, delay, w := r.outcome(), r.u64(), r.u32()
 		report := r.report()
 		if in != nil && r.err == nil {
-			in.router.Checked(h.now, router.WorkerID(w), o, span(delay), report)
+			in.router.CheckEnded(h.now, router.WorkerID(w), o, span(delay), report)
 		}
 	case 70:
 		if id := r.u32(); in != nil && r.err == nil {
-			in.router.Left(h.now, router.RPCID(id))
+			in.router.ClientLeft(h.now, router.RPCID(id))
 		}
 	case 100:
 		r.u16()
@@ -238,7 +238,7 @@
 	if in == nil || r.err != nil {
 		return
 	}
-	in.router.Ended(h.now, router.RPCID(id), int(n), router.WorkerID(w), o, complete != 0,
+	in.router.CallOutEnded(h.now, router.RPCID(id), int(n), router.WorkerID(w), o, complete != 0,
 		router.Warmth(detail%8), int(detail/8), span(delay), report)
 }
 
@@ -252,7 +252,7 @@
 	if bits&1 == 0 {
 		cost = 0
 	}
-	in.router.Take(h.now, router.RPCID(id), router.MethodID(method),
+	in.router.Submit(h.now, router.RPCID(id), router.MethodID(method),
 		router.CustomerID(customer), router.FunctionID(fn), span(budget), float64(cost)/nsPerUnit,
 		memory, int(lanes), router.Time(load*1e6/nsPerUnit), bits&2 != 0)
 }
@@ -266,22 +266,22 @@
 	if !known {
 		return fmt.Errorf("list form %d: %w", code, errUnknown)
 	}
-	if form != router.Failed && (slot >= lists || h.lists[slot] == nil) {
+	if form != router.ListFailed && (slot >= lists || h.lists[slot] == nil) {
 		return fmt.Errorf("list number %d was never sent", slot)
 	}
 	if in == nil {
 		return nil
 	}
-	in.router.ListBegins(h.now, form, version)
-	if form != router.Failed {
+	in.router.BeginWorkerList(h.now, form, version)
+	if form != router.ListFailed {
 		for e := (&reader{b: h.lists[slot]}); len(e.b) > 0; {
 			started, zone, w, cell := e.u64(), e.u16(), e.u32(), e.u16()
 			state, kind, size := e.u8(), e.u8(), e.f32()
-			in.router.Listed(h.now, router.WorkerID(w), readiness[state], router.Time(started/nsPerUnit),
+			in.router.AddListedWorker(h.now, router.WorkerID(w), readiness[state], router.Time(started/nsPerUnit),
 				router.ZoneID(zone), router.CellID(cell), router.KindID(kind), size)
 		}
 	}
-	in.router.ListEnds(h.now)
+	in.router.EndWorkerList(h.now)
 	return nil
 }
 
@@ -320,15 +320,15 @@
 	in.router.Release(rpc)
 }
 
-// Retract implements router.Port.
-func (in *instance) Retract(rpc router.RPCID, n int) {
+// CancelCallOut implements router.Port.
+func (in *instance) CancelCallOut(rpc router.RPCID, n int) {
 	out := in.act(40)
 	out.u32(uint32(rpc))
 	out.u8(uint8(n))
 }
 
-// Remind implements router.Port.
-func (in *instance) Remind(after router.Time, token uint64) {
+// SetTimer implements router.Port.
+func (in *instance) SetTimer(after router.Time, token uint64) {
 	out := in.act(50)
 	out.u64(ns(after))
 	out.u64(token)
@@ -337,16 +337,16 @@
 // Check implements router.Port.
 func (in *instance) Check(w router.WorkerID) { in.act(60).u32(uint32(w)) }
 
-// Hold implements router.Port.
-func (in *instance) Hold(w router.WorkerID, fn router.FunctionID, n int, _ router.Time) {
+// OrderLoad implements router.Port.
+func (in *instance) OrderLoad(w router.WorkerID, fn router.FunctionID, n int, _ router.Time) {
 	out := in.act(130)
 	out.u64(uint64(fn))
 	out.u8(uint8(n))
 	out.u32(uint32(w))
 }
 
-// Listen implements router.Port.
-func (in *instance) Listen() { in.act(110).u8(1) }
+// SubscribeWorkers implements router.Port.
+func (in *instance) SubscribeWorkers() { in.act(110).u8(1) }
 
 // Log implements router.Port.
 func (in *instance) Log(text string) { in.act(90).text(text) }
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -26,16 +26,16 @@
 
 // Config is what a front end is told at its start, and again with SIGHUP.
 type Config struct {
-	Name, Listen, Journal string
-	Seed                  int64
-	MemoryMB              float64 // over it the front end is killed
-	Sockets               int     // descriptors that it may hold
-	Known                 []byte  // the events up to now
-	Module                router.Settings
-	Methods               []engine.Method
-	Customers             []string
-	Zones, Kinds          []string
-	Values                []string // of a load report, by place
+	Name, ListenAddress, JournalAddress string
+	Seed                                int64
+	MemoryMB                            float64 // over it the front end is killed
+	MaxSockets                          int     // descriptors that it may hold
+	KnownEvents                         []byte  // the events up to now
+	ModuleSettings                      router.Settings
+	Methods                             []engine.Method
+	Customers                           []string
+	Zones, Kinds                        []string
+	ReportValues                        []string // of a load report, by place
 
 	settings map[string]any // as read
 }
@@ -46,21 +46,21 @@
 	memoryLeast  = 16 // MB
 )
 
-// BadConfig is what is wrong with a configuration: file, place and reason.
-type BadConfig struct{ error }
+// ConfigError is what is wrong with a configuration: file, place and reason.
+type ConfigError struct{ error }
 
 // ReadConfig reads the file that BALANCER_CONFIG names. What is missing there, the variables tell.
 func ReadConfig(path string, env func(string) string) (*Config, error) {
 	if path == "" {
-		return nil, BadConfig{errors.New("BALANCER_CONFIG is not set: it names the configuration's file")}
+		return nil, ConfigError{errors.New("BALANCER_CONFIG is not set: it names the configuration's file")}
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, BadConfig{fmt.Errorf("configuration: %w", err)}
+		return nil, ConfigError{fmt.Errorf("configuration: %w", err)}
 	}
 	c, err := parse(text, env)
 	if err != nil {
-		return nil, BadConfig{fmt.Errorf("configuration %s: %w", path, err)}
+		return nil, ConfigError{fmt.Errorf("configuration %s: %w", path, err)}
 	}
 	return c, nil
 }
@@ -82,13 +82,13 @@
 			}
 		}
 	}
-	c := &Config{Name: env("BALANCER_NAME"), Listen: env("BALANCER_LISTEN"), Known: tree["known"]}
+	c := &Config{Name: env("BALANCER_NAME"), ListenAddress: env("BALANCER_LISTEN"), KnownEvents: tree["known"]}
 	var seed string
 	var limits map[string]float64
 	var settings map[string]any
 	read("name", &c.Name)
-	read("listen", &c.Listen)
-	read("journal", &c.Journal)
+	read("listen", &c.ListenAddress)
+	read("journal", &c.JournalAddress)
 	read("seed", &seed)
 	read("limits", &limits)
 	read("settings", &settings)
@@ -96,8 +96,8 @@
 		return nil, err
 	}
 	bits, err := strconv.ParseUint(seed, 16, 64)
-	c.Seed, c.MemoryMB, c.Sockets = int64(bits), limits["memory_mb"], int(limits["sockets"])
-	for _, address := range []struct{ name, value string }{{"listen", c.Listen}, {"journal", c.Journal}} {
+	c.Seed, c.MemoryMB, c.MaxSockets = int64(bits), limits["memory_mb"], int(limits["sockets"])
+	for _, address := range []struct{ name, value string }{{"listen", c.ListenAddress}, {"journal", c.JournalAddress}} {
 		if _, _, e := net.SplitHostPort(address.value); e != nil {
 			return nil, fmt.Errorf("%q: %w", address.name, e)
 		}
@@ -105,12 +105,12 @@
 	switch {
 	case err != nil:
 		return nil, fmt.Errorf(`"seed": %q is no hex number`, seed)
-	case len(c.Known) == 0:
+	case len(c.KnownEvents) == 0:
 		return nil, errors.New(`"known" is missing`)
 	case c.MemoryMB < memoryLeast:
 		return nil, fmt.Errorf(`"limits": memory_mb %g, %d are needed`, c.MemoryMB, memoryLeast)
-	case c.Sockets < socketsLeast:
-		return nil, fmt.Errorf(`"limits": sockets %d, %d are needed`, c.Sockets, socketsLeast)
+	case c.MaxSockets < socketsLeast:
+		return nil, fmt.Errorf(`"limits": sockets %d, %d are needed`, c.MaxSockets, socketsLeast)
 	case settings == nil:
 		return nil, errors.New(`"settings" is missing`)
 	}
@@ -120,24 +120,24 @@
 
 // take reads the settings. Gone are the places of methods and customers that were removed, by list and place.
 func (c *Config) take(gone map[string]map[int]bool) error {
-	for _, list := range site.Lists {
-		if err := ident.Distinct(site.Names(c.settings, list), func(name string) string { return name }); err != nil {
+	for _, list := range site.ListNames {
+		if err := ident.CheckDistinct(site.EntryNames(c.settings, list), func(name string) string { return name }); err != nil {
 			return fmt.Errorf(`"settings": %q: %w`, list, err)
 		}
 	}
-	c.Module = site.Flat(c.settings)
-	c.Module[terms.List] = terms.Pushed // the journal service's events come by themselves
-	c.Module[terms.Path(terms.Rules, terms.ListLasts)] = float64(turn.Span(feed.SilenceClock))
-	c.Customers, c.Zones, c.Kinds = site.Names(c.settings, site.Customers), site.Names(c.settings, site.Zones), site.Names(c.settings, site.Kinds)
+	c.ModuleSettings = site.FromTree(c.settings)
+	c.ModuleSettings[terms.List] = terms.Pushed // the journal service's events come by themselves
+	c.ModuleSettings[terms.Join(terms.Rules, terms.ListLasts)] = float64(turn.FromDuration(feed.SilenceExpiry))
+	c.Customers, c.Zones, c.Kinds = site.EntryNames(c.settings, site.Customers), site.EntryNames(c.settings, site.Zones), site.EntryNames(c.settings, site.Kinds)
 	for i := range gone[site.Customers] {
 		c.Customers[i] = ""
 	}
-	c.Methods, c.Values = nil, nil // of the settings as they were read
-	if err := c.readMethods(site.Names(c.settings, site.Methods)); err != nil {
+	c.Methods, c.ReportValues = nil, nil // of the settings as they were read
+	if err := c.readMethods(site.EntryNames(c.settings, site.Methods)); err != nil {
 		return err
 	}
 	for i := range gone[site.Methods] {
-		c.Methods[i].Gone = true
+		c.Methods[i].Removed = true
 	}
 	return nil
 }
@@ -145,7 +145,7 @@
 // keepPlaces puts what the settings list by place where the configuration before had it: RPCs that are open, and
 // workers, go by places. What is gone keeps its place and what it was; what is new comes behind.
 func (c *Config) keepPlaces(was *Config) error {
-	settings, gone := site.KeepPlaces(c.settings, was.settings)
+	settings, gone := site.KeepIndexes(c.settings, was.settings)
 	c.settings = settings
 	return c.take(gone)
 }
@@ -186,43 +186,46 @@
 		return errors.New(`"settings": no methods`)
 	}
 	for i, name := range names {
-		num := func(what string) float64 { return c.number(terms.At(terms.Methods, i, what)) }
-		word := func(what string) string { v, _ := c.Module[terms.At(terms.Methods, i, what)].(string); return v }
+		num := func(what string) float64 { return c.number(terms.Item(terms.Methods, i, what)) }
+		word := func(what string) string {
+			v, _ := c.ModuleSettings[terms.Item(terms.Methods, i, what)].(string)
+			return v
+		}
 		m := engine.Method{Name: name, Effect: word(terms.Effect), Group: word(terms.Group), Gain: num(terms.Gain),
-			Soft: router.Time(num(terms.SoftDeadline)), Deadline: router.Time(num(terms.Deadline)), Batch: 1}
+			SoftDeadline: router.Time(num(terms.SoftDeadline)), Deadline: router.Time(num(terms.Deadline)), MaxBatch: 1}
 		if name == "" || m.Deadline <= 0 {
 			return fmt.Errorf(`"settings": method %d lacks its name or its deadline`, i)
 		}
 		c.Methods = append(c.Methods, m)
 	}
-	values := terms.Path(terms.Report, terms.Values)
+	values := terms.Join(terms.Report, terms.Values)
 	for i := range int(c.number(values)) {
-		word, _ := c.Module[terms.At(values, i, "")].(string)
-		c.Values = append(c.Values, word)
+		word, _ := c.ModuleSettings[terms.Item(values, i, "")].(string)
+		c.ReportValues = append(c.ReportValues, word)
 	}
 	return nil
 }
 
-func (c *Config) number(name string) float64 { v, _ := c.Module[name].(float64); return v }
+func (c *Config) number(name string) float64 { v, _ := c.ModuleSettings[name].(float64); return v }
 
 // span reads a time of the settings.
 func (c *Config) span(level, name string, or time.Duration) time.Duration {
-	if v := c.number(terms.Path(level, name)); v > 0 {
-		return turn.Duration(router.Time(v))
+	if v := c.number(terms.Join(level, name)); v > 0 {
+		return turn.ToDuration(router.Time(v))
 	}
 	return or
 }
 
 // connections is the half of the descriptors that is the clients', and the workers' other half.
-func (c *Config) connections() int { return (c.Sockets - ownFiles) / 2 }
+func (c *Config) connections() int { return (c.MaxSockets - ownFiles) / 2 }
 
 // bounds are those of the clients' side.
-func (c *Config) bounds() thrift.Bounds {
-	return thrift.Bounds{Connections: c.connections(), MemoryMost: c.memoryMost()}
+func (c *Config) bounds() thrift.Limits {
+	return thrift.Limits{MaxConnections: c.connections(), MaxMemoryMB: c.memoryMost()}
 }
 
 // pace is how far apart turns begin at the least: as the module is driven elsewhere.
-func (c *Config) pace() time.Duration { return turn.Duration(router.Time(c.number(terms.Tick))) }
+func (c *Config) pace() time.Duration { return turn.ToDuration(router.Time(c.number(terms.Tick))) }
 
 // heap is what Go's collector keeps its own under.
 func (c *Config) heap() int64 { return int64(c.MemoryMB * heapPart * (1 << 20)) }
@@ -230,8 +233,8 @@
 // longest is the longest deadline of a method that there still is: the platform kills us by these.
 func (c *Config) longest() (most time.Duration) {
 	for _, m := range c.Methods {
-		if !m.Gone {
-			most = max(most, turn.Duration(m.Deadline))
+		if !m.Removed {
+			most = max(most, turn.ToDuration(m.Deadline))
 		}
 	}
 	return most
@@ -240,9 +243,9 @@
 // memoryMost is the memory of the largest kind of worker, in MB.
 func (c *Config) memoryMost() (most float64) {
 	for i := range c.Kinds {
-		most = max(most, c.number(terms.At(terms.Path(terms.Functions, terms.Memory), i, "")))
+		most = max(most, c.number(terms.Item(terms.Join(terms.Functions, terms.Memory), i, "")))
 	}
 	return most
 }
 
-func (c *Config) service() *front.Service { return front.Prepare(c.Methods, c.Customers, nil) }
+func (c *Config) service() *front.Service { return front.NewService(c.Methods, c.Customers, nil) }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -48,8 +48,8 @@
 	log   zerolog.Logger
 	loop  *turn.Loop
 	e     *engine.Engine
-	desk  *front.Desk
-	links *httplink.Set
+	desk  *front.Dispatcher
+	links *httplink.LinkSet
 	srv   *thrift.Server
 	feed  *feed.Feed
 	base  router.Time // the loop's time at the Unix epoch
@@ -73,29 +73,29 @@
 	f *FrontEnd
 }
 
-// Begin begins a turn.
-func (m machine) Begin(now router.Time) {
-	m.f.desk.Begin(now)
-	m.f.links.Begin()
-	m.f.srv.Begin(now)
-	m.Engine.Begin(now)
+// BeginTurn begins a turn.
+func (m machine) BeginTurn(now router.Time) {
+	m.f.desk.BeginTurn(now)
+	m.f.links.BeginTurn()
+	m.f.srv.BeginTurn(now)
+	m.Engine.BeginTurn(now)
 }
 
-// Due tells when a turn is wanted though nothing comes.
-func (m machine) Due() (router.Time, bool) {
-	a, anyA := m.Engine.Due()
-	b, anyB := m.f.desk.Due()
+// NextDue tells when a turn is wanted though nothing comes.
+func (m machine) NextDue() (router.Time, bool) {
+	a, anyA := m.Engine.NextDue()
+	b, anyB := m.f.desk.NextDue()
 	if anyA && (!anyB || a < b) {
 		return a, true
 	}
 	return b, anyB
 }
 
-// End ends a turn.
-func (m machine) End() {
-	m.f.desk.Pump()
-	m.Engine.End()
-	m.f.srv.Flush()
+// EndTurn ends a turn.
+func (m machine) EndTurn() {
+	m.f.desk.Admit()
+	m.Engine.EndTurn()
+	m.f.srv.FlushTurn()
 }
 
 // New reads the configuration and puts a front end together. Nothing is listened to before Serve.
@@ -106,15 +106,15 @@
 	}
 	f := &FrontEnd{path: path, env: env, log: log.With().Str("front_end", c.Name).Logger(), loop: turn.NewLoop(),
 		lame: lame, addresses: map[string]string{}, zones: c.Zones, kinds: c.Kinds}
-	f.loop.Pace(c.pace())
+	f.loop.SetMinInterval(c.pace())
 	f.base = f.loop.Now() - router.Time(time.Now().UnixMicro()/100)
-	f.e = engine.New(engine.Options{Settings: c.Module, Seed: c.Seed, Now: f.loop.Now(), Margin: turn.Span(margin),
-		Log:     func(text string) { f.log.Info().Str("from", "module").Msg(text) },
-		GivenUp: f.logGivenUp, Listen: func() { f.feed.Refresh() }})
-	f.desk = front.NewDesk(f.e, front.Options{Methods: c.Methods, Customers: c.Customers, Margin: turn.Span(margin), Apart: true})
+	f.e = engine.New(engine.Options{Settings: c.ModuleSettings, Seed: c.Seed, Now: f.loop.Now(), AnswerMargin: turn.FromDuration(margin),
+		Log:      func(text string) { f.log.Info().Str("from", "module").Msg(text) },
+		OnGiveUp: f.logGivenUp, Subscribe: func() { f.feed.AskAgain() }})
+	f.desk = front.New(f.e, front.Options{Methods: c.Methods, Customers: c.Customers, AnswerMargin: turn.FromDuration(margin), NoJoin: true})
 	f.links = httplink.New(f.loop, f.e, f.linkOptions(c))
-	f.srv = thrift.New(f.loop, f.desk, thrift.Options{Bounds: c.bounds(), Ready: f.ready, Log: f.log})
-	f.feed = feed.New(c.Journal, f.listed, f.lapse, f.log)
+	f.srv = thrift.New(f.loop, f.desk, thrift.Options{Limits: c.bounds(), Ready: f.ready, Log: f.log})
+	f.feed = feed.New(c.JournalAddress, f.listed, f.lapse, f.log)
 	return f, c, nil
 }
 
@@ -122,11 +122,11 @@
 func (f *FrontEnd) ready() bool { return f.told.Load() && !f.leaving.Load() }
 
 func (f *FrontEnd) linkOptions(c *Config) httplink.Options {
-	return httplink.Options{ConnectTimeOut: c.span(terms.May, terms.ConnectTimeOut, 250*time.Millisecond),
-		OrderTimeOut: c.span(terms.Functions, terms.OrderTimeOut, 10*time.Second),
-		Idle:         c.span(terms.May, terms.IdleClose, 10*time.Second),
-		PauseMost:    turn.Duration(router.PauseMost(c.Module)),
-		Connections:  c.connections(), Values: c.Values, Dialer: f.dials, Log: f.log}
+	return httplink.Options{ConnectTimeout: c.span(terms.May, terms.ConnectTimeout, 250*time.Millisecond),
+		OrderTimeout:   c.span(terms.Functions, terms.OrderTimeout, 10*time.Second),
+		IdleTimeout:    c.span(terms.May, terms.IdleClose, 10*time.Second),
+		MaxPause:       turn.ToDuration(router.MaxPause(c.ModuleSettings)),
+		MaxConnections: c.connections(), ReportValues: c.ReportValues, Dialer: f.dials, Log: f.log}
 }
 
 // Serve runs a front end until the context ends, and then goes on as before for a while, answers what it holds, and
@@ -138,7 +138,7 @@
 	}
 	runtime.GOMAXPROCS(1) // all front ends share cores; a second thread of ours would only wait for the first
 	debug.SetMemoryLimit(c.heap())
-	l, err := listen(ctx, c.Listen, log)
+	l, err := listen(ctx, c.ListenAddress, log)
 	if err != nil {
 		return err
 	}
@@ -167,13 +167,13 @@
 	defer endLoop()
 	var loopGroup, restGroup errgroup.Group
 	loopGroup.Go(func() error { f.loop.Run(loopCtx, machine{f.e, f}); return nil })
-	if err := f.feed.Apply(c.Known, time.Time{}); err != nil { // the journal service tells it again
+	if err := f.feed.Apply(c.KnownEvents, time.Time{}); err != nil { // the journal service tells it again
 		f.log.Warn().Err(err).Msg("the known events are not taken over")
 	}
 	restGroup.Go(func() error { f.feed.Run(rest); return nil })
 	accepted := make(chan struct{})
 	restGroup.Go(func() error { defer close(accepted); return f.srv.Serve(l) })
-	f.log.Info().Str("listen", l.Addr().String()).Float64("memory_mb", c.MemoryMB).Int("sockets", c.Sockets).
+	f.log.Info().Str("listen", l.Addr().String()).Float64("memory_mb", c.MemoryMB).Int("sockets", c.MaxSockets).
 		Msg("front end takes RPCs")
 
 	if f.log.GetLevel() <= zerolog.DebugLevel {
@@ -220,7 +220,7 @@
 		case <-reload:
 			f.reload(c)
 		case <-lameOver:
-			thrift.Last(l)
+			thrift.StopAccepting(l)
 		case <-accepted:
 			l.Close()
 			open, accepted = false, nil
@@ -239,7 +239,7 @@
 
 // logGivenUp tells at debug level which bound last held an RPC that the module gives up on.
 func (f *FrontEnd) logGivenUp(p *engine.RPC, why router.Reason) {
-	f.log.Debug().Str("ticket", p.Ticket).Str("method", p.Method.Name).Str("what", p.Function).Stringer("reason", why).
+	f.log.Debug().Str("ticket", p.ClientRPCID).Str("method", p.Method.Name).Str("what", p.Function).Stringer("reason", why).
 		Int("call_outs", p.CallOuts()).Msg("given up")
 }
 
@@ -250,7 +250,7 @@
 		case <-ctx.Done():
 			return
 		case <-time.After(time.Second):
-			f.loop.Post(func() { f.log.Debug().Str("module", f.e.View()).Str("sockets", f.links.View()).Msg("view") })
+			f.loop.Post(func() { f.log.Debug().Str("module", f.e.Describe()).Str("sockets", f.links.Describe()).Msg("view") })
 		}
 	}
 }
@@ -259,7 +259,7 @@
 // followed all the same: the old one tells nothing more.
 func (f *FrontEnd) reload(config **Config) {
 	now := time.Now()
-	f.lapse(now, now.Add(feed.ReloadClock)) // the old service tells nothing more
+	f.lapse(now, now.Add(feed.ReloadExpiry)) // the old service tells nothing more
 	c, err := ReadConfig(f.path, f.env)
 	if err == nil {
 		err = c.keepPlaces(*config)
@@ -267,24 +267,24 @@
 	if err != nil {
 		journal := readJournal(f.path)
 		if journal != "" {
-			f.feed.Move(journal)
+			f.feed.SetAddress(journal)
 		}
 		f.log.Error().Err(err).Str("journal", journal).Msg("the new configuration is not taken: the old one stands")
 		return
 	}
 	*config = c
-	f.feed.Move(c.Journal)
-	service, prepared, links := c.service(), router.Prepare(c.Module), f.linkOptions(c)
+	f.feed.SetAddress(c.JournalAddress)
+	service, prepared, links := c.service(), router.ParseSettings(c.ModuleSettings), f.linkOptions(c)
 	f.loop.Post(func() {
 		f.zones, f.kinds = c.Zones, c.Kinds
-		f.e.Renew(c.Module, prepared, c.Methods)
-		f.desk.Renew(service, limits.Settings{})
-		f.links.Renew(links)
+		f.e.UpdateSettings(c.ModuleSettings, prepared, c.Methods)
+		f.desk.UpdateSettings(service, limits.Settings{})
+		f.links.UpdateSettings(links)
 	})
-	f.loop.Pace(c.pace())
-	f.srv.Renew(c.bounds())
+	f.loop.SetMinInterval(c.pace())
+	f.srv.UpdateSettings(c.bounds())
 	debug.SetMemoryLimit(c.heap())
-	f.log.Info().Str("journal", c.Journal).Msg("the new configuration is in force")
+	f.log.Info().Str("journal", c.JournalAddress).Msg("the new configuration is in force")
 }
 
 // listed takes events of the journal service over, all of one answer in one turn: what an earlier one of them says of
@@ -318,7 +318,7 @@
 
 // loopTime is a time by the loop's clock, cut to whole units.
 func (f *FrontEnd) loopTime(t time.Time) router.Time {
-	return f.loop.Now() - turn.Span(time.Since(t)) - 1
+	return f.loop.Now() - turn.FromDuration(time.Since(t)) - 1
 }
 
 // confirmList tells the module how old the list is. The module knows of the clock for a service that is out of reach
@@ -329,13 +329,13 @@
 	}
 	asOf := f.listAsOf
 	if f.lapsesBy > 0 {
-		asOf = min(asOf, f.lapsesBy-turn.Span(feed.SilenceClock))
+		asOf = min(asOf, f.lapsesBy-turn.FromDuration(feed.SilenceExpiry))
 	}
-	f.e.ListConfirmed(asOf)
+	f.e.ConfirmWorkerList(asOf)
 }
 
 func (f *FrontEnd) event(e feed.Event) {
-	f.e.ListBegins(e.Form, e.Pos)
+	f.e.BeginWorkerList(e.Form, e.Pos)
 	named := map[string]bool{}
 	for _, w := range e.Workers {
 		if err := f.worker(w); err != nil {
@@ -343,11 +343,11 @@
 		}
 		named[w.Name] = true
 	}
-	f.e.ListEnds()
-	if e.Form == router.Whole {
+	f.e.EndWorkerList()
+	if e.Form == router.ListComplete {
 		for name := range f.addresses {
 			if !named[name] {
-				f.links.Unwant(name)
+				f.links.Remove(name)
 				delete(f.addresses, name)
 			}
 		}
@@ -359,7 +359,7 @@
 	if w.StartedMs > 0 {
 		started = max(1, router.Time(w.StartedMs*10)+f.base)
 	}
-	if err := f.e.Listed(w.Name, w.State, started, router.ZoneID(place(f.zones, w.Zone)), router.CellID(w.Cell),
+	if err := f.e.AddListedWorker(w.Name, w.State, started, router.ZoneID(place(f.zones, w.Zone)), router.CellID(w.Cell),
 		router.KindID(place(f.kinds, w.Kind))); err != nil {
 		return err
 	}
@@ -368,12 +368,12 @@
 		address = f.addresses[w.Name]
 	}
 	if w.State != router.Ready || address == "" { // nothing new goes there
-		f.links.Unwant(w.Name)
+		f.links.Remove(w.Name)
 		delete(f.addresses, w.Name)
 		return nil
 	}
 	f.addresses[w.Name] = address
-	f.links.Want(w.Name, address, ident.Worker(w.Name))
+	f.links.Add(w.Name, address, ident.Worker(w.Name))
 	return nil
 }
 
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -205,7 +205,7 @@
 			s.configure()
 			s.reload <- syscall.SIGHUP
 		case words[0] == "known":
-			s.until(func() bool { _, known := s.f.desk.Method(words[1]); return known })
+			s.until(func() bool { _, known := s.f.desk.MethodIndex(words[1]); return known })
 		case words[0] == "told":
 			s.until(func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.asked >= len(s.events) })
 		case words[0] == "crowd":
@@ -553,7 +553,7 @@
 		f.lame = 0
 	}
 	f.dials, s.f = s, f
-	f.links.Renew(f.linkOptions(c))
+	f.links.UpdateSettings(f.linkOptions(c))
 	ctx, stop := context.WithCancel(context.Background())
 	s.stop, s.left, s.reload = stop, make(chan error, 1), make(chan os.Signal, 1)
 	left := s.left
@@ -586,7 +586,7 @@
 // view is the part of the module's view that tells of workers.
 func (s *stage) view() string {
 	view := make(chan string, 1)
-	s.f.loop.Post(func() { view <- s.f.e.View() })
+	s.f.loop.Post(func() { view <- s.f.e.Describe() })
 	_, workers, _ := strings.Cut(<-view, ";")
 	return workers
 }
--- a/internal/rehearse/config.go
+++ b/internal/rehearse/config.go
@@ -36,7 +36,7 @@
 		return err
 	}
 	defer c.Close()
-	ctx, end := context.WithTimeout(ctx, turn.Duration(t.For))
+	ctx, end := context.WithTimeout(ctx, turn.ToDuration(t.For))
 	defer end()
 	every := time.Duration(float64(time.Second) / max(t.Size, 0.001))
 	for n := 0; sleep(ctx, every); n++ {
--- a/internal/rehearse/fleet.go
+++ b/internal/rehearse/fleet.go
@@ -140,7 +140,7 @@
   <clients socket=%q open="100000"/>%s
   <roster socket=%q cache=%q/>%s
 `, fe.Name, i, fe.Of, fe.Seed, zoneAttr(s, i), f.socket(i), f.kserve(i), roster.Socket, f.path("%s.list", fe.Name), f.controlAt(fe.Name))
-		service, err := settings.Text("service", fe.Service)
+		service, err := settings.ElementText("service", fe.Service)
 		if err != nil {
 			return err
 		}
@@ -281,7 +281,7 @@
 	if err := settings.Write(file, "worker", w); err != nil {
 		return err
 	}
-	p, err := f.start(w.Name, "worker", file, "--drain", turn.Duration(f.s.Fleet.RosterLag+20000).String())
+	p, err := f.start(w.Name, "worker", file, "--drain", turn.ToDuration(f.s.Fleet.RosterLag+20000).String())
 	if err != nil {
 		return err
 	}
--- a/internal/rehearse/load.go
+++ b/internal/rehearse/load.go
@@ -97,7 +97,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.next = (p.next + 1) % len(p.conns)
-	if c := p.conns[p.next]; c != nil && !c.Over() {
+	if c := p.conns[p.next]; c != nil && !c.Closed() {
 		return c, nil
 	}
 	c, err := p.dial(ctx)
@@ -114,7 +114,7 @@
 		return nil, err
 	}
 	c := jsonrpc.NewCaller(nc, 1<<24)
-	c.Watch = true
+	c.Streaming = true
 	p.c.open.Add(1)
 	go func() {
 		defer p.c.open.Done()
@@ -132,7 +132,7 @@
 			return -1
 		}
 		return time.Since(c.dead[i])
-	}, turn.Duration(c.s.Clients.Notice))
+	}, turn.ToDuration(c.s.Clients.Notice))
 }
 
 // front notes that a front end died or is back.
@@ -174,7 +174,7 @@
 	m := c.lookups[a.Mix.Method]
 	cl := day.NewClient(c.s, m, a)
 	began := c.start.Add(a.At)
-	deadline := began.Add(turn.Duration(m.Deadline))
+	deadline := began.Add(turn.ToDuration(m.Deadline))
 	outcome := day.Lost
 	for try := 0; ctx.Err() == nil; try++ {
 		span, repeat, goes := cl.Try(time.Since(c.start), time.Until(deadline))
@@ -223,24 +223,24 @@
 	if err != nil {
 		return "lost", false, 0
 	}
-	b := jsonrpc.AppendText([]byte(`{"function":`), function)
+	b := jsonrpc.AppendString([]byte(`{"function":`), function)
 	if mix.Customer != "" {
-		b = jsonrpc.AppendText(append(b, `,"customer":`...), mix.Customer)
+		b = jsonrpc.AppendString(append(b, `,"customer":`...), mix.Customer)
 	}
 	if m.Effect == router.Tokened {
-		b = jsonrpc.AppendText(append(b, `,"token":`...), token)
+		b = jsonrpc.AppendString(append(b, `,"token":`...), token)
 	}
 	if repeat {
 		b = append(b, `,"repeat":true`...)
 	}
 	keep, ms := c.keeper(front, mark, token, function, m, span)
 	b = strconv.AppendFloat(append(b, `,"time_ms":`...), ms, 'f', 1, 64)
-	b = append(jsonrpc.AppendText(append(b, `,"payload":{"mark":`...), mark), "}}"...)
+	b = append(jsonrpc.AppendString(append(b, `,"payload":{"mark":`...), mark), "}}"...)
 	keep(record.Sent, "")
-	got := make(chan jsonrpc.Answer, 1)
+	got := make(chan jsonrpc.Response, 1)
 	var answers atomic.Int32
 	var left atomic.Bool
-	conn.Ask(m.Name, b, func(a jsonrpc.Answer) {
+	conn.CallAsync(m.Name, b, func(a jsonrpc.Response) {
 		// noted here, by the reader: also when nobody waits any more, and answers beyond the first
 		switch answered := answers.Add(1) > 1; {
 		case a.Err == nil:
@@ -265,7 +265,7 @@
 			keep(record.Quit, "")
 			return "quit", true, 0
 		}
-		conn.Tell("rpc.cancel", []byte(`{"id":1}`))
+		conn.Notify("rpc.cancel", []byte(`{"id":1}`))
 		keep(record.Quit, "")
 		select { // its one answer is still owed
 		case <-got:
@@ -276,7 +276,7 @@
 		if a.Err != nil {
 			return "lost", true, 0
 		}
-		if comeBackMs, is := jsonrpc.Number(jsontext.Value(jsonrpc.Member(a.Data, "come_back_ms"))); is {
+		if comeBackMs, is := jsonrpc.ParseNumber(jsontext.Value(jsonrpc.Member(a.Data, "come_back_ms"))); is {
 			comeBack = time.Duration(comeBackMs * float64(time.Millisecond))
 		}
 		return outcomeOf(a.Code), true, comeBack
@@ -298,7 +298,7 @@
 }
 
 // slack is how long a client looks for an answer once its time is up: late ones are seen, too.
-func (c *callers) slack() time.Duration { return turn.Duration(c.s.Slack) + time.Second }
+func (c *callers) slack() time.Duration { return turn.ToDuration(c.s.Slack) + time.Second }
 
 // tryGRPC is try over the second front's gRPC; a connection carries many RPCs.
 func (c *callers) tryGRPC(ctx context.Context, front int, mark, token, function string, mix settings.Mix,
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -57,21 +57,21 @@
 	if err != nil {
 		return err
 	}
-	return gateway.ServeWith(ctx, f, log, nil, wrong(os.Getenv(wrongEnv)))
+	return gateway.ServeWithHooks(ctx, f, log, nil, wrong(os.Getenv(wrongEnv)))
 }
 
 // wrong is the outgoing side of a front end that breaks one rule.
-func wrong(rule string) gateway.Outgoing {
+func wrong(rule string) gateway.OutputHooks {
 	w := &wrongSide{rule: rule, links: map[string]engine.Link{}}
 	switch rule {
 	case "1 twice":
-		return gateway.Outgoing{Answer: w.twice}
+		return gateway.OutputHooks{Answer: w.twice}
 	case "1":
-		return gateway.Outgoing{Client: func(c engine.Client) engine.Client { return &wrongClient{Client: c, w: w} }}
+		return gateway.OutputHooks{Client: func(c engine.Client) engine.Client { return &wrongClient{Client: c, w: w} }}
 	case "2", "3", "4", "5":
-		return gateway.Outgoing{Link: w.link}
+		return gateway.OutputHooks{Link: w.link}
 	}
-	return gateway.Outgoing{}
+	return gateway.OutputHooks{}
 }
 
 type wrongSide struct {
@@ -137,7 +137,7 @@
 			w.links[w.last].Send(id, p, left, by)
 		}
 	case "5": // each RPC orders a load
-		l.Link.Hold(engine.OrderID(1<<40|uint64(id)), p.Function, p.Fn, 1, by)
+		l.Link.OrderLoad(engine.OrderID(1<<40|uint64(id)), p.Function, p.Spec, 1, by)
 		l.Link.Send(id, p, left, by)
 	}
 }
--- a/internal/repeats/repeats.go
+++ b/internal/repeats/repeats.go
@@ -19,20 +19,20 @@
 
 // Decisions.
 const (
-	First   Decision = iota // none of that token is open: it goes its way
-	Joined                  // it waits for the open one's answer
-	Differs                 // one of that token is open, but asks for something else: refused
+	First       Decision = iota // none of that token is open: it goes its way
+	Joined                      // it waits for the open one's answer
+	Conflicting                 // one of that token is open, but asks for something else: refused
 )
 
-// Open are a front end's tokened RPCs at work, each with those that joined it.
-type Open[Waiter comparable] struct {
+// Tracker are a front end's tokened RPCs at work, each with those that joined it.
+type Tracker[Waiter comparable] struct {
 	seed maphash.Seed
-	rpcs map[Key]*Group[Waiter]
+	rpcs map[Key]*SharedRPC[Waiter]
 }
 
-// Group is one RPC at work and all who wait for it.
-type Group[Waiter comparable] struct {
-	o       *Open[Waiter]
+// SharedRPC is one RPC at work and all who wait for it.
+type SharedRPC[Waiter comparable] struct {
+	o       *Tracker[Waiter]
 	key     Key
 	what    uint64
 	waiters []Waiter
@@ -40,12 +40,12 @@
 }
 
 // New starts with none open.
-func New[Waiter comparable]() *Open[Waiter] {
-	return &Open[Waiter]{seed: maphash.MakeSeed(), rpcs: map[Key]*Group[Waiter]{}}
+func New[Waiter comparable]() *Tracker[Waiter] {
+	return &Tracker[Waiter]{seed: maphash.MakeSeed(), rpcs: map[Key]*SharedRPC[Waiter]{}}
 }
 
-// Come takes an RPC: its function and the parts of its payload say what it asks for.
-func (o *Open[Waiter]) Come(key Key, function string, w Waiter, payload ...[]byte) (*Group[Waiter], Decision) {
+// Add takes an RPC: its function and the parts of its payload say what it asks for.
+func (o *Tracker[Waiter]) Add(key Key, function string, w Waiter, payload ...[]byte) (*SharedRPC[Waiter], Decision) {
 	var h maphash.Hash
 	h.SetSeed(o.seed)
 	_, _ = h.WriteString(function)
@@ -56,18 +56,18 @@
 	what := h.Sum64()
 	if g := o.rpcs[key]; g != nil {
 		if g.what != what {
-			return nil, Differs
+			return nil, Conflicting
 		}
 		g.waiters = append(g.waiters, w)
 		return g, Joined
 	}
-	g := &Group[Waiter]{o: o, key: key, what: what, waiters: []Waiter{w}}
+	g := &SharedRPC[Waiter]{o: o, key: key, what: what, waiters: []Waiter{w}}
 	o.rpcs[key] = g
 	return g, First
 }
 
-// Leave takes a waiter out. It tells whether nobody waits any more: the RPC itself is then left.
-func (g *Group[Waiter]) Leave(w Waiter) (last bool) {
+// Remove takes a waiter out. It tells whether nobody waits any more: the RPC itself is then left.
+func (g *SharedRPC[Waiter]) Remove(w Waiter) (last bool) {
 	for i := range g.waiters {
 		if g.waiters[i] == w {
 			g.waiters = append(g.waiters[:i:i], g.waiters[i+1:]...)
@@ -81,15 +81,15 @@
 	return true
 }
 
-// Answer ends the RPC and returns who waits, in the order in which they came.
-func (g *Group[Waiter]) Answer() []Waiter {
+// Finish ends the RPC and returns who waits, in the order in which they came.
+func (g *SharedRPC[Waiter]) Finish() []Waiter {
 	w := g.waiters
 	g.waiters = nil
 	g.end()
 	return w
 }
 
-func (g *Group[Waiter]) end() {
+func (g *SharedRPC[Waiter]) end() {
 	if !g.over {
 		g.over = true
 		delete(g.o.rpcs, g.key)
--- a/internal/resources/resources.go
+++ b/internal/resources/resources.go
@@ -20,15 +20,15 @@
 type ID struct{ Type, Name string }
 
 // Canonical is the one text of a well-formed configuration, and its parts.
-func Canonical(file, text string) (string, []settings.Part, error) {
-	parts, err := settings.Parts(file, strings.NewReader(text))
+func Canonical(file, text string) (string, []settings.Resource, error) {
+	parts, err := settings.ReadResources(file, strings.NewReader(text))
 	if err != nil {
 		return "", nil, err
 	}
-	return settings.TextOf(parts), parts, nil
+	return settings.ResourcesText(parts), parts, nil
 }
 
-func byID(parts []settings.Part) map[ID]string {
+func byID(parts []settings.Resource) map[ID]string {
 	out := map[ID]string{}
 	for _, p := range parts {
 		out[ID{p.Type, p.Name}] = p.Text
@@ -36,8 +36,8 @@
 	return out
 }
 
-// Changes are what must be set and removed to come from one configuration to another.
-func Changes(from, to []settings.Part) (set []settings.Part, removed []ID) {
+// Diff are what must be set and removed to come from one configuration to another.
+func Diff(from, to []settings.Resource) (set []settings.Resource, removed []ID) {
 	before, after := byID(from), byID(to)
 	for _, p := range to {
 		if text, had := before[ID{p.Type, p.Name}]; !had || text != p.Text {
@@ -53,7 +53,7 @@
 }
 
 // Patch is a configuration with changes made.
-func Patch(base, set []settings.Part, removed []ID) []settings.Part {
+func Patch(base, set []settings.Resource, removed []ID) []settings.Resource {
 	drop := map[ID]bool{}
 	for _, id := range removed {
 		drop[id] = true
@@ -61,20 +61,20 @@
 	for _, p := range set {
 		drop[ID{p.Type, p.Name}] = true
 	}
-	var out []settings.Part
+	var out []settings.Resource
 	for _, p := range base {
 		if !drop[ID{p.Type, p.Name}] {
 			out = append(out, p)
 		}
 	}
 	out = append(out, set...)
-	settings.SortParts(out)
+	settings.SortResources(out)
 	return out
 }
 
-// Lines tell the difference for people: each resource that one has and the other has not, or has otherwise.
-func Lines(from, to []settings.Part) (out []string) {
-	set, removed := Changes(from, to)
+// FormatDiff tell the difference for people: each resource that one has and the other has not, or has otherwise.
+func FormatDiff(from, to []settings.Resource) (out []string) {
+	set, removed := Diff(from, to)
 	before := byID(from)
 	for _, id := range removed {
 		out = append(out, fmt.Sprintf("- %s %s", id.Type, id.Name))
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -31,30 +31,30 @@
 
 // Settings are a rollout's figures.
 type Settings struct {
-	Stages    []float64 `json:"stages"`     // shares of the live followers, rising, the last 1
-	Hold      Millis    `json:"hold"`       // a stage lasts so long at the least, once all of it have accepted
-	Patience  Millis    `json:"patience"`   // a live follower that has not answered by then stops the rollout
-	Live      Millis    `json:"live"`       // a follower not heard from for so long counts as away
-	Refused   float64   `json:"refused"`    // share of a stage's followers that may turn a version down
-	Worse     float64   `json:"worse"`      // fall of the ok share, over that of the others, that stops it
-	LeastRPCs uint64    `json:"least_rpcs"` // on either side of a comparison
+	Stages          []float64 `json:"stages"`     // shares of the live followers, rising, the last 1
+	Hold            Millis    `json:"hold"`       // a stage lasts so long at the least, once all of it have accepted
+	AnswerTimeout   Millis    `json:"patience"`   // a live follower that has not answered by then stops the rollout
+	LiveTimeout     Millis    `json:"live"`       // a follower not heard from for so long counts as away
+	MaxRefusedShare float64   `json:"refused"`    // share of a stage's followers that may turn a version down
+	MaxOKDrop       float64   `json:"worse"`      // fall of the ok share, over that of the others, that stops it
+	MinRPCs         uint64    `json:"least_rpcs"` // on either side of a comparison
 }
 
 // Entry is one version.
 type Entry struct {
-	Version Version `json:"version"`
-	Digest  string  `json:"digest"`
-	Text    string  `json:"text,omitempty"`
-	By      string  `json:"by,omitempty"`
-	Note    string  `json:"note,omitempty"`
-	State   string  `json:"state"`
-	Reason  string  `json:"reason,omitempty"`
-	At      Millis  `json:"at"`
-	AtOnce  bool    `json:"at_once,omitempty"` // its only stage is the last
+	Version   Version `json:"version"`
+	Digest    string  `json:"digest"`
+	Text      string  `json:"text,omitempty"`
+	By        string  `json:"by,omitempty"`
+	Note      string  `json:"note,omitempty"`
+	State     string  `json:"state"`
+	Reason    string  `json:"reason,omitempty"`
+	CreatedAt Millis  `json:"at"`
+	Immediate bool    `json:"at_once,omitempty"` // its only stage is the last
 }
 
-// Figures are a follower's sums since it began.
-type Figures struct {
+// Counters are a follower's sums since it began.
+type Counters struct {
 	Taken   uint64 `json:"taken"`
 	OK      uint64 `json:"ok"`
 	Denied  uint64 `json:"denied"`
@@ -63,39 +63,39 @@
 
 // Report is what a follower told.
 type Report struct {
-	Name    string  `json:"name"`
-	Version Version `json:"version"` // in force there
-	Digest  string  `json:"digest"`
-	Kept    bool    `json:"kept"`
-	Refused Version `json:"refused,omitempty"`
-	Reason  string  `json:"reason,omitempty"`
-	Figures Figures `json:"figures"`
+	Name     string   `json:"name"`
+	Version  Version  `json:"version"` // in force there
+	Digest   string   `json:"digest"`
+	Kept     bool     `json:"kept"`
+	Refused  Version  `json:"refused,omitempty"`
+	Reason   string   `json:"reason,omitempty"`
+	Counters Counters `json:"figures"`
 }
 
 // follower is what is known of one.
 type follower struct {
 	Report
-	Seen   Millis  `json:"seen"`
-	Since  Millis  `json:"since"`  // chosen for the candidate
-	Chosen bool    `json:"chosen"` // it is to run the candidate
-	Before Figures `json:"before"` // when the version before the candidate began there, or its process did
-	Start  Figures `json:"start"`  // when the candidate's rollout began
-	After  Figures `json:"after"`  // when it accepted the candidate
-	Has    bool    `json:"has"`    // After is set
+	Seen   Millis   `json:"seen"`
+	Since  Millis   `json:"since"`  // chosen for the candidate
+	Chosen bool     `json:"chosen"` // it is to run the candidate
+	Before Counters `json:"before"` // when the version before the candidate began there, or its process did
+	Start  Counters `json:"start"`  // when the candidate's rollout began
+	After  Counters `json:"after"`  // when it accepted the candidate
+	Has    bool     `json:"has"`    // After is set
 }
 
 // State is everything; it goes into snapshots as it is.
 type State struct {
-	Set       Settings             `json:"settings"`
-	Newest    Version              `json:"newest"`
-	Stable    Version              `json:"stable"`
-	Candidate Version              `json:"candidate"`
-	Next      Version              `json:"next"` // waits for the candidate's end; 0: none does
-	Stage     int                  `json:"stage"`
-	Since     Millis               `json:"since"`    // the stage began
-	Complete  Millis               `json:"complete"` // all of the stage have accepted; 0: not yet
-	Entries   map[Version]*Entry   `json:"entries"`
-	Followers map[string]*follower `json:"followers"`
+	Settings        Settings             `json:"settings"`
+	Newest          Version              `json:"newest"`
+	Stable          Version              `json:"stable"`
+	Candidate       Version              `json:"candidate"`
+	Pending         Version              `json:"next"` // waits for the candidate's end; 0: none does
+	Stage           int                  `json:"stage"`
+	StageSince      Millis               `json:"since"`    // the stage began
+	StageCompleteAt Millis               `json:"complete"` // all of the stage have accepted; 0: not yet
+	Entries         map[Version]*Entry   `json:"entries"`
+	Followers       map[string]*follower `json:"followers"`
 }
 
 // keepEntries is how many versions behind the newest are told at all, and forget how long a follower that is away.
@@ -109,7 +109,7 @@
 
 // New starts with no version.
 func New(set Settings) *State {
-	return &State{Set: set, Entries: map[Version]*Entry{}, Followers: map[string]*follower{}}
+	return &State{Settings: set, Entries: map[Version]*Entry{}, Followers: map[string]*follower{}}
 }
 
 // Submit numbers a version. Base, unless 0, must be the newest.
@@ -122,10 +122,10 @@
 
 func (s *State) add(now Millis, e *Entry) Version {
 	s.Newest++
-	e.Version, e.State, e.At = s.Newest, Waiting, now
+	e.Version, e.State, e.CreatedAt = s.Newest, Waiting, now
 	s.Entries[e.Version] = e
 	s.drop(fmt.Sprintf("version %d came before it was begun", e.Version))
-	s.Next = e.Version
+	s.Pending = e.Version
 	if old := s.Entries[e.Version-min(e.Version, keepTexts)]; old != nil && old.Version != s.Stable && old.Version != s.Candidate {
 		old.Text = ""
 	}
@@ -138,8 +138,8 @@
 
 // drop supersedes the version that waits: it is never told to anybody.
 func (s *State) drop(why string) {
-	if s.Next != 0 {
-		s.Entries[s.Next].State, s.Entries[s.Next].Reason, s.Next = Superseded, why, 0
+	if s.Pending != 0 {
+		s.Entries[s.Pending].State, s.Entries[s.Pending].Reason, s.Pending = Superseded, why, 0
 	}
 }
 
@@ -168,27 +168,27 @@
 	if s.Candidate != 0 {
 		s.end(now, Withdrawn, fmt.Sprintf("rolled back by %s", by))
 	}
-	return s.add(now, &Entry{Text: e.Text, Digest: e.Digest, By: by, AtOnce: true,
+	return s.add(now, &Entry{Text: e.Text, Digest: e.Digest, By: by, Immediate: true,
 		Note: strings.TrimSpace(fmt.Sprintf("back to %d %s", to, note))}), nil
 }
 
-// Heard takes a follower's report.
-func (s *State) Heard(now Millis, r Report) {
+// RecordReport takes a follower's report.
+func (s *State) RecordReport(now Millis, r Report) {
 	f := s.Followers[r.Name]
 	if f == nil {
 		f = &follower{}
 		s.Followers[r.Name] = f
-		f.Before, f.Start = r.Figures, r.Figures
+		f.Before, f.Start = r.Counters, r.Counters
 	}
-	if r.Figures.Taken < f.Figures.Taken { // its process began anew
-		f.Before, f.Start, f.After = r.Figures, r.Figures, r.Figures
+	if r.Counters.Taken < f.Counters.Taken { // its process began anew
+		f.Before, f.Start, f.After = r.Counters, r.Counters, r.Counters
 	}
 	f.Report, f.Seen = r, now
 	if s.Candidate != 0 && !f.Chosen && s.stages()[s.Stage] >= 1 { // it came amid the last stage
 		f.Chosen, f.Since = true, now
 	}
 	if s.Candidate != 0 && f.Chosen && r.Version == s.Candidate && !f.Has {
-		f.After, f.Has = r.Figures, true
+		f.After, f.Has = r.Counters, true
 	}
 	if r.Version > s.Newest { // this store is older than the fleet: numbers go on above
 		s.Newest = r.Version
@@ -212,7 +212,7 @@
 // next tells what is due, and the reason of a withdrawal.
 func (s *State) next(now Millis) (step, string) {
 	if s.Candidate == 0 {
-		if s.Next != 0 {
+		if s.Pending != 0 {
 			return begin, ""
 		}
 		return stay, ""
@@ -220,7 +220,7 @@
 	accepted, refused, chosen, live, open, reasons := 0, 0, 0, 0, []string{}, []string{}
 	for _, name := range s.names() {
 		f := s.Followers[name]
-		if now-f.Seen > s.Set.Live {
+		if now-f.Seen > s.Settings.LiveTimeout {
 			continue
 		}
 		if live++; !f.Chosen {
@@ -233,7 +233,7 @@
 		case f.Refused == s.Candidate:
 			refused++
 			reasons = append(reasons, name+": "+f.Reason)
-		case now-f.Since > s.Set.Patience:
+		case now-f.Since > s.Settings.AnswerTimeout:
 			open = append(open, name)
 		}
 	}
@@ -243,19 +243,19 @@
 		return draw, ""
 	case chosen == 0:
 		return stay, ""
-	case float64(refused) > s.Set.Refused*float64(chosen):
+	case float64(refused) > s.Settings.MaxRefusedShare*float64(chosen):
 		return withdraw, fmt.Sprintf("turned down by %d of %d: %s", refused, chosen, strings.Join(reasons[:min(3, len(reasons))], "; "))
 	case len(open) > 0:
-		return withdraw, fmt.Sprintf("no answer for %d ms from %s", s.Set.Patience, strings.Join(open[:min(3, len(open))], ", "))
+		return withdraw, fmt.Sprintf("no answer for %d ms from %s", s.Settings.AnswerTimeout, strings.Join(open[:min(3, len(open))], ", "))
 	case why != "":
 		return withdraw, why
-	case !done && s.Complete != 0:
+	case !done && s.StageCompleteAt != 0:
 		return incomplete, ""
 	case !done:
 		return stay, ""
-	case s.Complete == 0 && s.Set.Hold > 0 && !s.atOnce():
+	case s.StageCompleteAt == 0 && s.Settings.Hold > 0 && !s.atOnce():
 		return complete, ""
-	case !s.atOnce() && now-s.Complete < s.Set.Hold:
+	case !s.atOnce() && now-s.StageCompleteAt < s.Settings.Hold:
 		return stay, ""
 	case s.Stage+1 < len(s.stages()):
 		return further, ""
@@ -278,9 +278,9 @@
 	case withdraw:
 		s.end(now, Withdrawn, why)
 	case complete:
-		s.Complete = now
+		s.StageCompleteAt = now
 	case incomplete:
-		s.Complete = 0
+		s.StageCompleteAt = 0
 	case further:
 		s.Stage++
 		s.choose(now)
@@ -289,19 +289,19 @@
 	}
 }
 
-// Wants tells whether a tick at now would change anything, so that idle instances need not agree on every one.
-func (s *State) Wants(now Millis) bool {
+// TickDue tells whether a tick at now would change anything, so that idle instances need not agree on every one.
+func (s *State) TickDue(now Millis) bool {
 	what, _ := s.next(now)
 	return what != stay
 }
 
-func (s *State) atOnce() bool { return s.Entries[s.Candidate].AtOnce }
+func (s *State) atOnce() bool { return s.Entries[s.Candidate].Immediate }
 
 func (s *State) stages() []float64 {
 	if s.Candidate != 0 && (s.atOnce() || s.Stable == 0) {
 		return []float64{1}
 	}
-	return s.Set.Stages
+	return s.Settings.Stages
 }
 
 // Target is the version that a follower is to run; 0: none yet.
@@ -314,13 +314,13 @@
 
 // proceed begins the version that waits.
 func (s *State) proceed(now Millis) {
-	if s.Candidate != 0 || s.Next == 0 {
+	if s.Candidate != 0 || s.Pending == 0 {
 		return
 	}
-	e := s.Entries[s.Next]
-	e.State, s.Candidate, s.Stage, s.Next = Rolling, e.Version, 0, 0
+	e := s.Entries[s.Pending]
+	e.State, s.Candidate, s.Stage, s.Pending = Rolling, e.Version, 0, 0
 	for _, f := range s.Followers {
-		f.Chosen, f.Has, f.Start = false, false, f.Figures
+		f.Chosen, f.Has, f.Start = false, false, f.Counters
 	}
 	s.choose(now)
 }
@@ -328,10 +328,10 @@
 // choose adds followers until the stage's share of the live ones has the candidate: which they are is drawn anew for
 // each version, so that it isn't always the same ones that try.
 func (s *State) choose(now Millis) {
-	s.Since, s.Complete = now, 0
+	s.StageSince, s.StageCompleteAt = now, 0
 	var live []string
 	for _, name := range s.names() {
-		if now-s.Followers[name].Seen <= s.Set.Live {
+		if now-s.Followers[name].Seen <= s.Settings.LiveTimeout {
 			live = append(live, name)
 		}
 	}
@@ -369,7 +369,7 @@
 	return out
 }
 
-func share(from, to Figures) (ok float64, n uint64) {
+func share(from, to Counters) (ok float64, n uint64) {
 	n = to.OK + to.Denied + to.Aborted - from.OK - from.Denied - from.Aborted
 	return float64(to.OK-from.OK) / float64(max(n, 1)), n
 }
@@ -377,8 +377,8 @@
 // worse compares the ok share of those who run the candidate with their own before it, less what changed for the others
 // over the same time: a bad hour for all is not the version's.
 func (s *State) worse() string {
-	var before, after, otherBefore, otherAfter Figures
-	add := func(to *Figures, from, until Figures) {
+	var before, after, otherBefore, otherAfter Counters
+	add := func(to *Counters, from, until Counters) {
 		to.OK += until.OK - from.OK
 		to.Denied += until.Denied - from.Denied
 		to.Aborted += until.Aborted - from.Aborted
@@ -387,24 +387,24 @@
 		f := s.Followers[name]
 		if f.Has {
 			add(&before, f.Before, f.Start)
-			add(&after, f.After, f.Figures)
+			add(&after, f.After, f.Counters)
 		} else {
 			add(&otherBefore, f.Before, f.Start)
-			add(&otherAfter, f.Start, f.Figures)
+			add(&otherAfter, f.Start, f.Counters)
 		}
 	}
-	b, nb := share(Figures{}, before)
-	a, na := share(Figures{}, after)
-	if nb < s.Set.LeastRPCs || na < s.Set.LeastRPCs {
+	b, nb := share(Counters{}, before)
+	a, na := share(Counters{}, after)
+	if nb < s.Settings.MinRPCs || na < s.Settings.MinRPCs {
 		return ""
 	}
 	fell := 0.0
-	ob, nob := share(Figures{}, otherBefore)
-	oa, noa := share(Figures{}, otherAfter)
-	if nob >= s.Set.LeastRPCs && noa >= s.Set.LeastRPCs {
+	ob, nob := share(Counters{}, otherBefore)
+	oa, noa := share(Counters{}, otherAfter)
+	if nob >= s.Settings.MinRPCs && noa >= s.Settings.MinRPCs {
 		fell = ob - oa
 	}
-	if b-a-fell > s.Set.Worse {
+	if b-a-fell > s.Settings.MaxOKDrop {
 		return fmt.Sprintf("ok share fell from %.3f to %.3f of %d RPCs with it, from %.3f to %.3f without", b, a, na, ob, oa)
 	}
 	return ""
@@ -420,14 +420,14 @@
 		// it may run it without having said so yet
 		inForce = inForce || f.Chosen && f.Refused != s.Candidate
 		if state == Accepted {
-			f.Before = f.Figures
+			f.Before = f.Counters
 			if f.Has {
 				f.Before = f.After
 			}
 		}
 		f.Chosen, f.Has = false, false
 	}
-	s.Candidate, s.Stage, s.Complete = 0, 0, 0
+	s.Candidate, s.Stage, s.StageCompleteAt = 0, 0, 0
 	if state == Accepted {
 		if old := s.Entries[s.Stable]; old != nil {
 			old.State = Past
@@ -440,30 +440,30 @@
 		old.State = Past
 		s.Newest++
 		s.Stable = s.Newest
-		s.Entries[s.Newest] = &Entry{Version: s.Newest, Digest: old.Digest, Text: old.Text, State: Accepted, At: now,
+		s.Entries[s.Newest] = &Entry{Version: s.Newest, Digest: old.Digest, Text: old.Text, State: Accepted, CreatedAt: now,
 			Note: fmt.Sprintf("back to %d: %d was withdrawn", old.Version, e.Version)}
-		if s.Next != 0 { // what waits was numbered before: it keeps its content under a number above
-			again := *s.Entries[s.Next]
+		if s.Pending != 0 { // what waits was numbered before: it keeps its content under a number above
+			again := *s.Entries[s.Pending]
 			s.drop(fmt.Sprintf("comes again as %d", s.Newest+1))
 			s.Newest++
-			again.Version, s.Next = s.Newest, s.Newest
+			again.Version, s.Pending = s.Newest, s.Newest
 			s.Entries[s.Newest] = &again
 		}
 	}
 	s.proceed(now)
 }
 
-// Listed is a follower as status tells of it.
-type Listed struct {
+// FollowerStatus is a follower as status tells of it.
+type FollowerStatus struct {
 	Report
 	Live bool
 }
 
-// List is all followers by name.
-func (s *State) List(now Millis) (out []Listed) {
+// ListFollowers is all followers by name.
+func (s *State) ListFollowers(now Millis) (out []FollowerStatus) {
 	for _, name := range s.names() {
 		f := s.Followers[name]
-		out = append(out, Listed{f.Report, now-f.Seen <= s.Set.Live})
+		out = append(out, FollowerStatus{f.Report, now-f.Seen <= s.Settings.LiveTimeout})
 	}
 	return out
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -34,7 +34,7 @@
 	for part := range strings.SplitSeq(all, "\n== ") {
 		name, steps, _ := strings.Cut(part, "\n")
 		t.Run(name, func(t *testing.T) {
-			p := &play{t: t, s: New(Settings{Stages: []float64{0.25, 1}, Hold: 100, Patience: 1000, Live: 500, Worse: 0.1, LeastRPCs: 10}),
+			p := &play{t: t, s: New(Settings{Stages: []float64{0.25, 1}, Hold: 100, AnswerTimeout: 1000, LiveTimeout: 500, MaxOKDrop: 0.1, MinRPCs: 10}),
 				runs: map[string]*Report{}, away: map[string]bool{}}
 			for line := range strings.Lines(steps) {
 				if w := strings.Fields(line); len(w) > 0 && w[0] != "#" {
@@ -73,7 +73,7 @@
 		} else {
 			r.Version, r.Digest = target, e.Digest
 		}
-		p.s.Heard(p.now, *r)
+		p.s.RecordReport(p.now, *r)
 	}
 }
 
@@ -85,14 +85,14 @@
 		for i := range n {
 			r := &Report{Name: fmt.Sprintf("f%d", i)}
 			p.runs[r.Name] = r
-			p.s.Heard(p.now, *r)
+			p.s.RecordReport(p.now, *r)
 		}
 	case "at":
 		for until := Millis(version(1)); p.now < until; {
 			p.now += 10
 			for _, name := range p.names() {
 				if p.now%100 == 0 && !p.away[name] {
-					p.s.Heard(p.now, *p.runs[name])
+					p.s.RecordReport(p.now, *p.runs[name])
 				}
 			}
 			p.s.Tick(p.now)
@@ -116,7 +116,7 @@
 		p.away[w[1]] = w[0] == "away"
 	case "report":
 		p.runs[w[1]].Version = version(2)
-		p.s.Heard(p.now, *p.runs[w[1]])
+		p.s.RecordReport(p.now, *p.runs[w[1]])
 	case "rpcs":
 		share, _ := strconv.ParseFloat(w[1], 64)
 		n := float64(version(2))
@@ -124,10 +124,10 @@
 			r := p.runs[name]
 			if with := r.Version == p.s.Candidate; w[3] == "all" || with == (w[3] == "with") {
 				ok := uint64(share * n)
-				r.Figures.OK += ok
-				r.Figures.Aborted += uint64(n) - ok
-				r.Figures.Taken += uint64(n)
-				p.s.Heard(p.now, *r)
+				r.Counters.OK += ok
+				r.Counters.Aborted += uint64(n) - ok
+				r.Counters.Taken += uint64(n)
+				p.s.RecordReport(p.now, *r)
 			}
 		}
 	case "want":
@@ -183,7 +183,7 @@
 // through a snapshot decides alike, and once all is quiet a good newest version is accepted everywhere.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := Settings{Stages: []float64{0.3, 1}, Hold: 20, Patience: 300, Live: 200, Worse: 0.2, LeastRPCs: 50}
+		set := Settings{Stages: []float64{0.3, 1}, Hold: 20, AnswerTimeout: 300, LiveTimeout: 200, MaxOKDrop: 0.2, MinRPCs: 50}
 		s := New(set)
 		now := Millis(0)
 		runs := map[string]*Report{}
@@ -214,7 +214,7 @@
 					r.Version, r.Digest = target, e.Digest
 				}
 			}
-			s.Heard(now, *r)
+			s.RecordReport(now, *r)
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"submit": func(t *rapid.T) {
--- a/internal/settings/configuration.go
+++ b/internal/settings/configuration.go
@@ -28,9 +28,9 @@
 	Pos
 	Open       int   `a:"open" def:"1000" min:"1" max:"1000000"`
 	OpenBytes  int64 `a:"open-bytes" def:"67108864" min:"0" max:"1099511627776"`
-	Whole      int   `a:"whole-open" def:"20000" min:"1" max:"10000000"`
-	WholeBytes int64 `a:"whole-bytes" def:"268435456" min:"1024" max:"1099511627776"`
-	Peer       int   `a:"peer-open" def:"0" min:"0" max:"10000000"`
+	TotalOpen  int   `a:"whole-open" def:"20000" min:"1" max:"10000000"`
+	TotalBytes int64 `a:"whole-bytes" def:"268435456" min:"1024" max:"1099511627776"`
+	PeerOpen   int   `a:"peer-open" def:"0" min:"0" max:"10000000"`
 	PeerBytes  int64 `a:"peer-bytes" def:"0" min:"0" max:"1099511627776"`
 	Held       int   `a:"held" def:"16" min:"0" max:"1000000"`
 }
@@ -70,11 +70,11 @@
 // ControlAt says where a front end's configuration comes from.
 type ControlAt struct {
 	Pos
-	Sockets   string      `a:"sockets" need:"yes"` // of the control service's instances, by blanks
-	Keep      string      `a:"keep" need:"yes"`    // file of the last good version
-	RedialMin router.Time `a:"redial-min-ms" def:"50" min:"1" max:"60000"`
-	RedialMax router.Time `a:"redial-max-ms" def:"1000" min:"1" max:"600000"`
-	Figures   router.Time `a:"figures-every-ms" def:"500" min:"10" max:"60000"`
+	Sockets        string      `a:"sockets" need:"yes"` // of the control service's instances, by blanks
+	SavePath       string      `a:"keep" need:"yes"`    // file of the last good version
+	RedialMin      router.Time `a:"redial-min-ms" def:"50" min:"1" max:"60000"`
+	RedialMax      router.Time `a:"redial-max-ms" def:"1000" min:"1" max:"600000"`
+	ReportInterval router.Time `a:"figures-every-ms" def:"500" min:"10" max:"60000"`
 }
 
 // Control is the document of one instance of the stand-in control service.
@@ -92,13 +92,13 @@
 // Roll is how versions reach the front ends.
 type Roll struct {
 	Pos
-	Stages    string      `a:"stages" def:"0.05 0.25 1"`
-	Hold      router.Time `a:"hold-ms" def:"2000" min:"0" max:"86400000"`
-	Patience  router.Time `a:"patience-ms" def:"10000" min:"10" max:"86400000"`
-	Live      router.Time `a:"live-ms" def:"3000" min:"50" max:"600000"`
-	Refused   float64     `a:"refused-share" def:"0" min:"0" max:"1"`
-	Worse     float64     `a:"worse" def:"0.05" min:"0" max:"1"`
-	LeastRPCs int         `a:"least-rpcs" def:"200" min:"1" max:"1000000000"`
+	Stages          string      `a:"stages" def:"0.05 0.25 1"`
+	Hold            router.Time `a:"hold-ms" def:"2000" min:"0" max:"86400000"`
+	AnswerTimeout   router.Time `a:"patience-ms" def:"10000" min:"10" max:"86400000"`
+	LiveTimeout     router.Time `a:"live-ms" def:"3000" min:"50" max:"600000"`
+	MaxRefusedShare float64     `a:"refused-share" def:"0" min:"0" max:"1"`
+	MaxOKDrop       float64     `a:"worse" def:"0.05" min:"0" max:"1"`
+	MinRPCs         int         `a:"least-rpcs" def:"200" min:"1" max:"1000000000"`
 }
 
 // Instance is another instance of the control service.
@@ -174,12 +174,12 @@
 		distinct(c.Listeners, func(l Listener) (string, Pos) { return l.Socket, l.Pos }, "listener of socket"))
 }
 
-// With is the front end under a configuration. Places of methods, customers, zones, cells and kinds stay those of
+// WithConfiguration is the front end under a configuration. Places of methods, customers, zones, cells and kinds stay those of
 // before, the front end as it is; new ones follow, and what is gone keeps its place. All of it is checked.
-func (f *FrontEnd) With(c *Configuration, before *Service) (*FrontEnd, error) {
+func (f *FrontEnd) WithConfiguration(c *Configuration, before *Service) (*FrontEnd, error) {
 	next := *f
 	next.Service = c.Service
-	next.Clients.Bound(c.Limits)
+	next.Clients.ApplyLimits(c.Limits)
 	if len(c.Models) > 0 {
 		if f.KServe == nil {
 			return nil, c.Models[0].Errorf("model %q: this front end has no kserve element to serve it", c.Models[0].Name)
@@ -205,34 +205,34 @@
 	return &next, nil
 }
 
-// Settle is the configuration's service with everything at the places that it has in before.
-func (c *Configuration) Settle(before *Service) *Service { return c.Service.after(before) }
+// AlignService is the configuration's service with everything at the places that it has in before.
+func (c *Configuration) AlignService(before *Service) *Service { return c.Service.after(before) }
 
-// Bound takes over the bounds of a configuration; nil: it has none.
-func (c *Clients) Bound(l *Limits) {
+// ApplyLimits takes over the bounds of a configuration; nil: it has none.
+func (c *Clients) ApplyLimits(l *Limits) {
 	if l == nil {
 		return
 	}
-	c.Open, c.OpenBytes, c.Whole, c.WholeBytes = l.Open, l.OpenBytes, l.Whole, l.WholeBytes
-	c.Peer, c.PeerBytes, c.Held = l.Peer, l.PeerBytes, l.Held
+	c.Open, c.OpenBytes, c.TotalOpen, c.TotalBytes = l.Open, l.OpenBytes, l.TotalOpen, l.TotalBytes
+	c.PeerOpen, c.PeerBytes, c.Held = l.PeerOpen, l.PeerBytes, l.Held
 }
 
-// Gate are the figures of the front end's gate.
-func (f *FrontEnd) Gate() limits.Settings {
-	c, back := &f.Clients, f.Service.CallOuts.ComeBack
+// LimitSettings are the figures of the front end's gate.
+func (f *FrontEnd) LimitSettings() limits.Settings {
+	c, back := &f.Clients, f.Service.CallOuts.RetryAfter
 	if !f.Service.CallOuts.Advise {
 		back = 0
 	}
-	return limits.Settings{Whole: limits.Bound{RPCs: c.Whole, Bytes: c.WholeBytes},
-		Peer: limits.Bound{RPCs: c.Peer, Bytes: c.PeerBytes}, Conn: limits.Bound{RPCs: c.Open, Bytes: c.OpenBytes},
-		Held: c.Held, ComeBack: back}
+	return limits.Settings{Total: limits.Limit{RPCs: c.TotalOpen, Bytes: c.TotalBytes},
+		Peer: limits.Limit{RPCs: c.PeerOpen, Bytes: c.PeerBytes}, Conn: limits.Limit{RPCs: c.Open, Bytes: c.OpenBytes},
+		MaxHeld: c.Held, MaxRetryAfter: back}
 }
 
 // CustomerNames are the customers' by place, empty where one is gone.
 func (s *Service) CustomerNames() []string {
 	out := make([]string, len(s.Customers))
 	for i, c := range s.Customers {
-		if out[i] = c.Name; c.Gone {
+		if out[i] = c.Name; c.Removed {
 			out[i] = ""
 		}
 	}
@@ -242,8 +242,8 @@
 // after is s with everything at the places that it has in before.
 func (s *Service) after(before *Service) *Service {
 	out := *s
-	out.Methods = settle(before.Methods, s.Methods, func(m *Method) string { return m.Name }, func(m *Method) { m.Gone = true })
-	out.Customers = settle(before.Customers, s.Customers, func(c *Customer) string { return c.Name }, func(c *Customer) { c.Gone, c.Quota = true, 0 })
+	out.Methods = settle(before.Methods, s.Methods, func(m *Method) string { return m.Name }, func(m *Method) { m.Removed = true })
+	out.Customers = settle(before.Customers, s.Customers, func(c *Customer) string { return c.Name }, func(c *Customer) { c.Removed, c.Quota = true, 0 })
 	still := func(n *Named) string { return n.Name }
 	out.Zones = settle(before.Zones, s.Zones, still, func(*Named) {})
 	out.Cells = settle(before.Cells, s.Cells, still, func(*Named) {})
@@ -268,8 +268,8 @@
 	return out
 }
 
-// Part is one resource of a configuration: an element, by its path and name.
-type Part struct {
+// Resource is one resource of a configuration: an element, by its path and name.
+type Resource struct {
 	Type, Name, Text string
 }
 
@@ -277,9 +277,9 @@
 var partOrder = []string{"service/method", "service/customer", "service/zone", "service/cell", "service/kind",
 	"service/functions", "service/call-outs", "service/rules", "service/price", "service/shared", "limits", "group", "source", "listener", "model"}
 
-// Parts splits a configuration's text, which must be well-formed; its names and figures need not be good. They come in
+// ReadResources splits a configuration's text, which must be well-formed; its names and figures need not be good. They come in
 // the order of Text.
-func Parts(file string, in io.Reader) ([]Part, error) {
+func ReadResources(file string, in io.Reader) ([]Resource, error) {
 	root, err := parse(file, in)
 	if err != nil {
 		return nil, err
@@ -287,8 +287,8 @@
 	if root.name != "configuration" {
 		return nil, root.pos.Errorf("root element %q, want %q", root.name, "configuration")
 	}
-	var parts []Part
-	seen := map[Part]bool{}
+	var parts []Resource
+	seen := map[Resource]bool{}
 	var split func(e *element, path string) error
 	split = func(e *element, path string) error {
 		for _, a := range e.attrs {
@@ -303,7 +303,7 @@
 				}
 				continue
 			}
-			p := Part{Type: path + child.name}
+			p := Resource{Type: path + child.name}
 			for _, a := range child.attrs {
 				if a.Name.Local == "name" || a.Name.Local == "version" {
 					p.Name = strings.Trim(p.Name+"/"+a.Value, "/")
@@ -323,19 +323,19 @@
 	if err := split(root, ""); err != nil {
 		return nil, err
 	}
-	SortParts(parts)
+	SortResources(parts)
 	return parts, nil
 }
 
-// SortParts puts parts into the order of Text.
-func SortParts(parts []Part) {
-	rank := func(p Part) int {
+// SortResources puts parts into the order of Text.
+func SortResources(parts []Resource) {
+	rank := func(p Resource) int {
 		if i := slices.Index(partOrder, p.Type); i >= 0 {
 			return i
 		}
 		return len(partOrder)
 	}
-	slices.SortFunc(parts, func(a, b Part) int {
+	slices.SortFunc(parts, func(a, b Resource) int {
 		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.Type, b.Type), cmp.Compare(a.Name, b.Name))
 	})
 }
@@ -357,8 +357,8 @@
 	fmt.Fprintf(b, "%s</%s>\n", indent, e.name)
 }
 
-// TextOf is the one text that parts, in their order, stand for: what is numbered, digested, kept and shown.
-func TextOf(parts []Part) string {
+// ResourcesText is the one text that parts, in their order, stand for: what is numbered, digested, kept and shown.
+func ResourcesText(parts []Resource) string {
 	var service, rest strings.Builder
 	for _, p := range parts {
 		to, indent := &rest, "  "
--- a/internal/settings/experiment.go
+++ b/internal/settings/experiment.go
@@ -13,12 +13,12 @@
 // Experiment is a plan: days, policies and settings, each combination with the same seeds.
 type Experiment struct {
 	Pos
-	Name     string    `a:"name" need:"yes"`
-	Seeds    int       `a:"seeds" def:"5" min:"1" max:"10000"`
-	First    int64     `a:"first-seed" def:"1" min:"0" max:"9007199254740992"`
-	Days     []PlanDay `e:"day" need:"yes"`
-	Policies []Named   `e:"policy"`
-	Varied   []Vary    `e:"vary"`
+	Name      string    `a:"name" need:"yes"`
+	Seeds     int       `a:"seeds" def:"5" min:"1" max:"10000"`
+	FirstSeed int64     `a:"first-seed" def:"1" min:"0" max:"9007199254740992"`
+	Days      []PlanDay `e:"day" need:"yes"`
+	Policies  []Named   `e:"policy"`
+	Varied    []Vary    `e:"vary"`
 }
 
 // PlanDay is a scenario, by its file's path from the plan's folder.
@@ -34,8 +34,8 @@
 	Values string `a:"values" need:"yes"` // by blanks, each with a part for each attribute, by commas
 }
 
-// Steps are the overrides of each value.
-func (v *Vary) Steps() (out [][]Override, err error) {
+// OverrideSets are the overrides of each value.
+func (v *Vary) OverrideSets() (out [][]Override, err error) {
 	paths := strings.Fields(v.Set)
 	for value := range strings.FieldsSeq(v.Values) {
 		parts := strings.Split(value, ",")
@@ -73,7 +73,7 @@
 		}
 	}
 	for _, v := range x.Varied {
-		steps, err := v.Steps()
+		steps, err := v.OverrideSets()
 		if err != nil {
 			return nil, err
 		}
--- a/internal/settings/kserve.go
+++ b/internal/settings/kserve.go
@@ -84,7 +84,7 @@
 func (k *KServe) MethodOf(s *Service, m *Model) int {
 	name := cmp.Or(m.Method, k.Method)
 	for i := range s.Methods {
-		if s.Methods[i].Name == name || name == "" && s.Methods[i].Effect == router.SideEffecting && !s.Methods[i].Gone {
+		if s.Methods[i].Name == name || name == "" && s.Methods[i].Effect == router.SideEffecting && !s.Methods[i].Removed {
 			return i
 		}
 	}
--- a/internal/settings/scenario.go
+++ b/internal/settings/scenario.go
@@ -169,7 +169,7 @@
 		for range g.Count {
 			n := len(out)
 			out = append(out, &Worker{Name: fmt.Sprintf("worker-%d", n), Zone: cmp.Or(g.Zone, s.ZoneOf(n)), Cell: g.Cell, Kind: g.Kind,
-				Seed: s.Seed + int64(n), Machine: g.Machine, Ramp: s.Service.Rules, Work: s.Fleet.Work})
+				Seed: s.Seed + int64(n), Machine: g.Machine, Rules: s.Service.Rules, Work: s.Fleet.Work})
 		}
 	}
 	return out
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -48,16 +48,16 @@
 	Batch     int         `a:"batch" def:"1" min:"1" max:"64"`
 	BatchWait router.Time `a:"batch-wait-ms" def:"2" min:"0" max:"1000"`
 	Payload   int64       `a:"payload-bytes" def:"0" min:"0" max:"1073741824"`
-	Gone      bool        // a configuration left it out; it keeps its place
+	Removed   bool        // a configuration left it out; it keeps its place
 }
 
 // Customer is somebody who pays for a share of the service.
 type Customer struct {
 	Pos
-	Name  string  `a:"name" need:"yes"`
-	Quota float64 `a:"quota-per-s" need:"yes" min:"0" max:"1e9"`
-	Share float64 `a:"share" def:"0" min:"0" max:"1"`
-	Gone  bool    // a configuration left it out; it keeps its place
+	Name    string  `a:"name" need:"yes"`
+	Quota   float64 `a:"quota-per-s" need:"yes" min:"0" max:"1e9"`
+	Share   float64 `a:"share" def:"0" min:"0" max:"1"`
+	Removed bool    // a configuration left it out; it keeps its place
 }
 
 // Named is a zone or a cell.
@@ -82,7 +82,7 @@
 	LoadWindow   router.Time `a:"load-window-ms" def:"0" min:"0" max:"600000"`
 	LoadFree     float64     `a:"load-free" def:"0" min:"0" max:"1e6"`
 	LoadShare    float64     `a:"load-share" def:"0" min:"0" max:"1e3"`
-	Some         []Function  `e:"function"`
+	Overrides    []Function  `e:"function"`
 }
 
 // Function is one function's copy; what it leaves out is its method's.
@@ -97,12 +97,12 @@
 // CallOuts tells what a front end may do.
 type CallOuts struct {
 	Pos
-	Most           int         `a:"most" def:"3" min:"1" max:"250"`
+	MaxCallOuts    int         `a:"most" def:"3" min:"1" max:"250"`
 	Overlap        bool        `a:"overlap" def:"no"`
 	Retract        bool        `a:"retract" def:"yes"`
 	Check          bool        `a:"check" def:"yes"`
 	ConnectTimeOut router.Time `a:"connect-time-out-ms" def:"250" min:"1" max:"60000"`
-	ComeBack       router.Time `a:"come-back-ms" def:"500" min:"0" max:"600000"`
+	RetryAfter     router.Time `a:"come-back-ms" def:"500" min:"0" max:"600000"`
 	Advise         bool        `a:"advise" def:"yes"`
 	OverShareGain  float64     `a:"over-share-gain" def:"1" min:"0" max:"1"`
 }
@@ -165,9 +165,9 @@
 	Margin       router.Time `a:"margin-ms" def:"10" min:"0" max:"10000"`
 	CallOff      router.Time `a:"call-off-ms" def:"200" min:"1" max:"60000"`
 	HandOver     string      `a:"hand-over"`
-	Whole        int         `a:"whole-open" def:"20000" min:"1" max:"10000000"`
-	WholeBytes   int64       `a:"whole-bytes" def:"268435456" min:"1024" max:"1099511627776"`
-	Peer         int         `a:"peer-open" def:"0" min:"0" max:"10000000"`
+	TotalOpen    int         `a:"whole-open" def:"20000" min:"1" max:"10000000"`
+	TotalBytes   int64       `a:"whole-bytes" def:"268435456" min:"1024" max:"1099511627776"`
+	PeerOpen     int         `a:"peer-open" def:"0" min:"0" max:"10000000"`
 	PeerBytes    int64       `a:"peer-bytes" def:"0" min:"0" max:"1099511627776"`
 	OpenBytes    int64       `a:"open-bytes" def:"67108864" min:"0" max:"1099511627776"`
 	Held         int         `a:"held" def:"16" min:"0" max:"1000000"`
@@ -212,7 +212,7 @@
 	Seed    int64        `a:"seed" def:"1" min:"0" max:"9007199254740992"`
 	Log     string       `a:"log"`
 	Machine Machine      `e:"machine"`
-	Ramp    Rules        `e:"rules"`
+	Rules   Rules        `e:"rules"`
 	Work    []WorkMethod `e:"work"`
 	Roster  *RosterAt    `e:"roster"`
 	Store   *StoreAt     `e:"store"`
@@ -269,8 +269,8 @@
 	Thrash  float64     `a:"thrash" def:"0.1" min:"0" max:"10"`
 }
 
-// Defaults are the clients' settings that a front end has where nothing is said.
-func Defaults() Clients {
+// DefaultClients are the clients' settings that a front end has where nothing is said.
+func DefaultClients() Clients {
 	var c Clients
 	e := &element{name: "clients", attrs: []xml.Attr{{Name: xml.Name{Local: "socket"}, Value: "none"}}}
 	if err := e.into(reflect.ValueOf(&c).Elem()); err != nil { // the tags of this package are wrong
@@ -358,8 +358,8 @@
 func named(n Named) (string, Pos) { return n.Name, n.Pos }
 
 func (f *FrontEnd) check() error {
-	if f.Number >= f.Sharing() {
-		return f.Errorf("number %d of %d front ends: numbers begin at 0", f.Number, f.Sharing())
+	if f.Number >= f.FrontEndCount() {
+		return f.Errorf("number %d of %d front ends: numbers begin at 0", f.Number, f.FrontEndCount())
 	}
 	if f.Workers.RedialMax < f.Workers.RedialMin {
 		return f.Workers.Errorf("redial-max-ms is below redial-min-ms")
@@ -424,11 +424,11 @@
 			return m.Errorf("method %q: names that begin with rpc. are reserved by JSON-RPC", m.Name)
 		}
 	}
-	names := make([]string, len(s.Functions.Some))
-	for i, fn := range s.Functions.Some {
+	names := make([]string, len(s.Functions.Overrides))
+	for i, fn := range s.Functions.Overrides {
 		names[i] = fn.Name
 	}
-	if err := ident.Distinct(names, ident.Function); err != nil {
+	if err := ident.CheckDistinct(names, ident.Function); err != nil {
 		return s.Functions.Errorf("functions: %v", err)
 	}
 	return cmp.Or(
@@ -479,90 +479,90 @@
 	var out []engine.Method
 	for _, m := range s.Methods {
 		out = append(out, engine.Method{Name: m.Name, Effect: m.Effect, Group: m.Group, Gain: m.Gain,
-			Deadline: m.Deadline, Soft: m.Soft, Batch: m.Batch, Wait: m.BatchWait, Bytes: m.Payload, Gone: m.Gone})
+			Deadline: m.Deadline, SoftDeadline: m.Soft, MaxBatch: m.Batch, BatchWait: m.BatchWait, MaxBytes: m.Payload, Removed: m.Removed})
 	}
 	return out
 }
 
 // FunctionFor tells what a copy of a function needs, for an RPC of the method at place m.
-func (s *Service) FunctionFor() func(m int, name string) engine.Function {
+func (s *Service) FunctionFor() func(m int, name string) engine.FunctionSpec {
 	some := map[string]Function{}
-	for _, fn := range s.Functions.Some {
+	for _, fn := range s.Functions.Overrides {
 		some[fn.Name] = fn
 	}
-	return func(m int, name string) engine.Function {
+	return func(m int, name string) engine.FunctionSpec {
 		fn, method := some[name], &s.Methods[m]
-		return engine.Function{Memory: cmp.Or(fn.Memory, method.Memory), Lanes: cmp.Or(fn.Lanes, method.Lanes),
-			Load: cmp.Or(fn.Load, method.Load)}
+		return engine.FunctionSpec{MemoryMB: cmp.Or(fn.Memory, method.Memory), Lanes: cmp.Or(fn.Lanes, method.Lanes),
+			LoadTime: cmp.Or(fn.Load, method.Load)}
 	}
 }
 
 // ReportValues are the figures of a worker's load report, in their order on the wire.
 var ReportValues = []string{terms.Util, terms.Pinned, terms.InHand, terms.Loads}
 
-// Sharing is how many front ends share the workers: what the service tells, else what the front end's own file does.
-func (f *FrontEnd) Sharing() int { return cmp.Or(f.Service.Shared.FrontEnds, f.Of) }
+// FrontEndCount is how many front ends share the workers: what the service tells, else what the front end's own file does.
+func (f *FrontEnd) FrontEndCount() int { return cmp.Or(f.Service.Shared.FrontEnds, f.Of) }
 
-// Module is the map that the module takes; see terms.
-func (f *FrontEnd) Module() router.Settings {
+// RouterSettings is the map that the module takes; see terms.
+func (f *FrontEnd) RouterSettings() router.Settings {
 	s, c, r, fn := &f.Service, &f.Service.CallOuts, &f.Service.Rules, &f.Service.Functions
 	out := router.Settings{
-		terms.FrontEnds: float64(f.Sharing()),
+		terms.FrontEnds: float64(f.FrontEndCount()),
 		terms.Me:        float64(f.Number),
 		terms.Zone:      float64(s.ZoneID(f.Zone)),
 		terms.List:      terms.Pushed,
 		terms.OverShare: c.OverShareGain,
 
-		terms.Path(terms.May, terms.CallOuts):       float64(c.Most),
-		terms.Path(terms.May, terms.Overlap):        c.Overlap,
-		terms.Path(terms.May, terms.Retract):        c.Retract,
-		terms.Path(terms.May, terms.Check):          c.Check,
-		terms.Path(terms.May, terms.ConnectTimeOut): float64(c.ConnectTimeOut),
-		terms.Path(terms.May, terms.ComeBack):       float64(c.ComeBack),
-		terms.Path(terms.May, terms.Advise):         c.Advise,
-
-		terms.Path(terms.Price, terms.CrossZone): s.Price.CrossZone,
-
-		terms.Path(terms.Functions, terms.KeepAlive):    float64(fn.KeepAlive),
-		terms.Path(terms.Functions, terms.Orders):       fn.Orders,
-		terms.Path(terms.Functions, terms.OrderTimeOut): float64(fn.OrderTimeOut),
-		terms.Path(terms.Functions, terms.LoadWindow):   float64(fn.LoadWindow),
-		terms.Path(terms.Functions, terms.LoadFree):     fn.LoadFree,
-		terms.Path(terms.Functions, terms.LoadShare):    fn.LoadShare,
-		terms.Path(terms.Functions, terms.TellsWarm):    true,
-		terms.Path(terms.Functions, terms.TellsCrowd):   true,
-
-		terms.Path(terms.Rules, terms.Drain):        float64(r.Drain),
-		terms.Path(terms.Rules, terms.Cold):         float64(r.Cold),
-		terms.Path(terms.Rules, terms.ColdFrom):     r.ColdFrom,
-		terms.Path(terms.Rules, terms.FallMultiple): r.FallMultiple,
-		terms.Path(terms.Rules, terms.Fall):         float64(r.Fall),
+		terms.Join(terms.May, terms.CallOuts):       float64(c.MaxCallOuts),
+		terms.Join(terms.May, terms.Overlap):        c.Overlap,
+		terms.Join(terms.May, terms.Retract):        c.Retract,
+		terms.Join(terms.May, terms.Check):          c.Check,
+		terms.Join(terms.May, terms.ConnectTimeout): float64(c.ConnectTimeOut),
+		terms.Join(terms.May, terms.ComeBack):       float64(c.RetryAfter),
+		terms.Join(terms.May, terms.Advise):         c.Advise,
+
+		terms.Join(terms.Price, terms.CrossZone): s.Price.CrossZone,
+
+		terms.Join(terms.Functions, terms.KeepAlive):    float64(fn.KeepAlive),
+		terms.Join(terms.Functions, terms.Orders):       fn.Orders,
+		terms.Join(terms.Functions, terms.OrderTimeout): float64(fn.OrderTimeOut),
+		terms.Join(terms.Functions, terms.LoadWindow):   float64(fn.LoadWindow),
+		terms.Join(terms.Functions, terms.LoadFree):     fn.LoadFree,
+		terms.Join(terms.Functions, terms.LoadShare):    fn.LoadShare,
+		terms.Join(terms.Functions, terms.TellsWarm):    true,
+		terms.Join(terms.Functions, terms.TellsCrowd):   true,
+
+		terms.Join(terms.Rules, terms.Drain):        float64(r.Drain),
+		terms.Join(terms.Rules, terms.Cold):         float64(r.Cold),
+		terms.Join(terms.Rules, terms.ColdFrom):     r.ColdFrom,
+		terms.Join(terms.Rules, terms.FallMultiple): r.FallMultiple,
+		terms.Join(terms.Rules, terms.Fall):         float64(r.Fall),
 
 		terms.Methods:   float64(len(s.Methods)),
 		terms.Customers: float64(len(s.Customers)),
 	}
-	memory := terms.Path(terms.Functions, terms.Memory)
+	memory := terms.Join(terms.Functions, terms.Memory)
 	out[memory] = float64(len(s.Kinds))
 	for i, k := range s.Kinds {
-		out[terms.At(memory, i, "")] = k.Memory
+		out[terms.Item(memory, i, "")] = k.Memory
 	}
-	values := terms.Path(terms.Report, terms.Values)
+	values := terms.Join(terms.Report, terms.Values)
 	out[values] = float64(len(ReportValues))
 	for i, name := range ReportValues {
-		out[terms.Path(values, name)] = float64(i)
+		out[terms.Join(values, name)] = float64(i)
 	}
 	for i, m := range s.Methods {
-		out[terms.At(terms.Methods, i, terms.Gain)] = m.Gain
-		out[terms.At(terms.Methods, i, terms.LateShare)] = m.LateShare
-		out[terms.At(terms.Methods, i, terms.SoftDeadline)] = float64(m.Soft)
-		out[terms.At(terms.Methods, i, terms.Deadline)] = float64(m.Deadline)
-		out[terms.At(terms.Methods, i, terms.Effect)] = m.Effect
-		out[terms.At(terms.Methods, i, terms.Group)] = m.Group
-		out[terms.At(terms.Methods, i, terms.Window)] = float64(m.Window)
+		out[terms.Item(terms.Methods, i, terms.Gain)] = m.Gain
+		out[terms.Item(terms.Methods, i, terms.LateShare)] = m.LateShare
+		out[terms.Item(terms.Methods, i, terms.SoftDeadline)] = float64(m.Soft)
+		out[terms.Item(terms.Methods, i, terms.Deadline)] = float64(m.Deadline)
+		out[terms.Item(terms.Methods, i, terms.Effect)] = m.Effect
+		out[terms.Item(terms.Methods, i, terms.Group)] = m.Group
+		out[terms.Item(terms.Methods, i, terms.Window)] = float64(m.Window)
 	}
 	for i, c := range s.Customers {
-		out[terms.At(terms.Customers, i, terms.Quota)] = c.Quota
-		out[terms.At(terms.Customers, i, terms.Share)] = c.Share
+		out[terms.Item(terms.Customers, i, terms.Quota)] = c.Quota
+		out[terms.Item(terms.Customers, i, terms.Share)] = c.Share
 	}
 	return out
 }
--- a/internal/settings/write.go
+++ b/internal/settings/write.go
@@ -95,8 +95,8 @@
 	return "", fmt.Errorf("no writer for a %s", v.Type())
 }
 
-// Text is a part of a document as XML.
-func Text(name string, part any) (string, error) {
+// ElementText is a part of a document as XML.
+func ElementText(name string, part any) (string, error) {
 	var b bytes.Buffer
 	err := appendElement(&b, name, reflect.ValueOf(part), "  ")
 	return b.String(), err
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -16,7 +16,7 @@
 // words maps the wire's names to ours. Names that are not here are passed over.
 var words = map[string]string{
 	"balancers": terms.FrontEnds, "myNumber": terms.Me, "zone": terms.Zone, "tickNs": terms.Tick,
-	"ceilings": terms.May, "cancel": terms.Retract, "connectTimeoutNs": terms.ConnectTimeOut, "mayProbe": terms.Check,
+	"ceilings": terms.May, "cancel": terms.Retract, "connectTimeoutNs": terms.ConnectTimeout, "mayProbe": terms.Check,
 	"mostTries": terms.CallOuts, "maxRetryAfterNs": terms.ComeBack, "retryAfter": terms.Advise,
 	"secondCopies": terms.Overlap, "maxOpen": terms.Open, "idleCloseNs": terms.IdleClose, "peers": terms.Tell,
 	"clientHabits": terms.Clients, "marksRetry": terms.MarkRepeats,
@@ -26,7 +26,7 @@
 	"familyInfo": terms.Functions, "idleLifeNs": terms.KeepAlive, "idlePrice": terms.MemoryPrice, "loadFloor": terms.LoadFree,
 	"loadRatio": terms.LoadShare, "loadsWithinNs": terms.LoadWindow, "mayLoad": terms.Orders, "onMiss": terms.OnMiss,
 	"ramMbByKind": terms.Memory, "tellsWarm": terms.TellsWarm, "notesPeersInHand": terms.TellsCrowd,
-	"answerWithinNs": terms.OrderTimeOut,
+	"answerWithinNs": terms.OrderTimeout,
 	"grades":         terms.Methods, "aimNs": terms.SoftDeadline, "aimStretch": terms.SoftStretch, "deadlineNs": terms.Deadline,
 	"effect": terms.Effect, "group": terms.Group, "lateShare": terms.LateShare, "value": terms.Gain, "windowNs": terms.Window,
 	"overShareWorth": terms.OverShare, "registryMode": terms.List, "worthBy": terms.GainBy,
@@ -45,25 +45,25 @@
 // nsPerUnit: the operators' times are in nanoseconds, the module's in tenths of a millisecond.
 const nsPerUnit = 100_000
 
-// Ours is our word for one of the operators'; one that is unknown stays as it is.
-func Ours(word string) string {
+// Translate is our word for one of the operators'; one that is unknown stays as it is.
+func Translate(word string) string {
 	if w, known := words[word]; known {
 		return w
 	}
 	return word
 }
 
-// Settings flattens the operators' JSON into our names and units.
-func Settings(text []byte) (router.Settings, error) {
+// Parse flattens the operators' JSON into our names and units.
+func Parse(text []byte) (router.Settings, error) {
 	var tree map[string]any
 	if err := json.Unmarshal(text, &tree); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	return Flat(tree), nil
+	return FromTree(tree), nil
 }
 
-// Flat is Settings of what has been decoded.
-func Flat(tree map[string]any) router.Settings {
+// FromTree is Settings of what has been decoded.
+func FromTree(tree map[string]any) router.Settings {
 	out := router.Settings{}
 	for name, v := range tree {
 		if word, known := words[name]; known {
@@ -81,15 +81,15 @@
 	Kinds     = "models"
 )
 
-// Lists are all of them.
-var Lists = []string{Methods, Customers, Zones, Kinds}
+// ListNames are all of them.
+var ListNames = []string{Methods, Customers, Zones, Kinds}
 
-// KeepPlaces gives new settings with all that is listed by place where the settings before had it. An entry that is gone
+// KeepIndexes gives new settings with all that is listed by place where the settings before had it. An entry that is gone
 // keeps its place as it was; new ones come behind. Gone tells which are gone, by list. Nothing given is changed.
-func KeepPlaces(settings, was map[string]any) (kept map[string]any, gone map[string]map[int]bool) {
+func KeepIndexes(settings, was map[string]any) (kept map[string]any, gone map[string]map[int]bool) {
 	kept, gone = maps.Clone(settings), map[string]map[int]bool{}
-	for _, list := range Lists {
-		before, after := Names(was, list), Names(settings, list)
+	for _, list := range ListNames {
+		before, after := EntryNames(was, list), EntryNames(settings, list)
 		from := make([]int, len(before)) // places in the new settings; -1: gone
 		gone[list] = map[int]bool{}
 		for i, name := range before {
@@ -147,9 +147,9 @@
 	zone      = "zone"
 )
 
-// Names are those of a list of the operators' settings, by place: of methods ("grades"), customers ("customers"),
+// EntryNames are those of a list of the operators' settings, by place: of methods ("grades"), customers ("customers"),
 // zones ("localities") and kinds of worker ("models").
-func Names(tree map[string]any, list string) (names []string) {
+func EntryNames(tree map[string]any, list string) (names []string) {
 	places, _ := tree[list].([]any)
 	for _, place := range places {
 		name, isWord := place.(string)
@@ -167,15 +167,15 @@
 	case map[string]any:
 		for name, inner := range v {
 			if word, known := words[name]; known {
-				flatten(out, terms.Path(path, word), name, inner)
+				flatten(out, terms.Join(path, word), name, inner)
 			}
 		}
 	case []any:
 		out[path] = float64(len(v))
 		for i, inner := range v {
-			flatten(out, terms.At(path, i, ""), name, inner)
+			flatten(out, terms.Item(path, i, ""), name, inner)
 			if value, isWord := inner.(string); isWord {
-				out[terms.Path(path, Ours(value))] = float64(i)
+				out[terms.Join(path, Translate(value))] = float64(i)
 			}
 		}
 	case float64:
@@ -186,6 +186,6 @@
 	case bool:
 		out[path] = v
 	case string:
-		out[path] = Ours(v)
+		out[path] = Translate(v)
 	}
 }
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -25,7 +25,7 @@
 		"grades":[{"name":"q","value":7},{"name":"r","value":2},{"name":"s","value":9}],
 		"familyInfo":{"ramMbByKind":[101,200,900],"mayLoad":false}}`)
 	before, _ := json.Marshal(now)
-	got, gone := KeepPlaces(now, was)
+	got, gone := KeepIndexes(now, was)
 	if !reflect.DeepEqual(got, want) {
 		text, _ := json.Marshal(got)
 		t.Errorf("got %s", text)
@@ -39,7 +39,7 @@
 		}
 	}
 
-	again, gone := KeepPlaces(was, got) // back to the first ones: what was gone is not, what was added is
+	again, gone := KeepIndexes(was, got) // back to the first ones: what was gone is not, what was added is
 	if len(gone[Methods]) != 1 || !gone[Methods][2] || again["zone"] != 1. || !gone[Customers][1] {
 		t.Errorf("gone %v, zone %v", gone, again["zone"])
 	}
@@ -49,7 +49,7 @@
 func TestKeepPlacesOfNothing(t *testing.T) {
 	for _, text := range []string{`{}`, `{"models":7,"familyInfo":[],"zone":"x"}`, `{"models":["a"],"familyInfo":{"ramMbByKind":[]}}`,
 		`{"localities":["a"],"zone":9}`} {
-		KeepPlaces(tree(t, text), tree(t, `{"models":["b"],"localities":["z"],"familyInfo":{"ramMbByKind":[1]}}`))
-		KeepPlaces(tree(t, `{"models":["b"],"localities":["z"],"familyInfo":{"ramMbByKind":[1]}}`), tree(t, text))
+		KeepIndexes(tree(t, text), tree(t, `{"models":["b"],"localities":["z"],"familyInfo":{"ramMbByKind":[1]}}`))
+		KeepIndexes(tree(t, `{"models":["b"],"localities":["z"],"familyInfo":{"ramMbByKind":[1]}}`), tree(t, text))
 	}
 }
--- a/internal/sock/sock.go
+++ b/internal/sock/sock.go
@@ -9,32 +9,32 @@
 	"golang.org/x/sys/unix"
 )
 
-// Writer writes to a connection as far as its socket takes bytes at once, and tells what its socket knows of the peer.
+// Socket writes to a connection as far as its socket takes bytes at once, and tells what its socket knows of the peer.
 // Nobody else may be writing meanwhile.
-type Writer struct{ raw syscall.RawConn }
+type Socket struct{ raw syscall.RawConn }
 
-// NewWriter makes a writer for a socket's connection; for another kind of connection it takes nothing.
-func NewWriter(nc net.Conn) Writer {
+// NewSocket makes a writer for a socket's connection; for another kind of connection it takes nothing.
+func NewSocket(nc net.Conn) Socket {
 	if sc, is := nc.(syscall.Conn); is {
 		if raw, err := sc.SyscallConn(); err == nil {
-			return Writer{raw}
+			return Socket{raw}
 		}
 	}
-	return Writer{}
+	return Socket{}
 }
 
-// Try writes what the socket takes now and tells how many bytes that were. An error is left for the next write that
+// TryWrite writes what the socket takes now and tells how many bytes that were. An error is left for the next write that
 // waits: it will meet it, too.
-func (w Writer) Try(b []byte) (n int) {
+func (w Socket) TryWrite(b []byte) (n int) {
 	if w.raw == nil {
 		return 0
 	}
-	n, _ = Write(w.raw, b)
+	n, _ = TryWrite(w.raw, b)
 	return n
 }
 
-// Write writes what the socket takes now and tells how many bytes that were; that it takes none is no error.
-func Write(raw syscall.RawConn, b []byte) (n int, err error) {
+// TryWrite writes what the socket takes now and tells how many bytes that were; that it takes none is no error.
+func TryWrite(raw syscall.RawConn, b []byte) (n int, err error) {
 	var fault error
 	err = raw.Write(func(fd uintptr) bool {
 		n, fault = unix.Write(int(fd), b)
@@ -46,8 +46,8 @@
 	return max(n, 0), errors.Join(err, fault)
 }
 
-// Unread tells whether bytes came that nobody has read.
-func (w Writer) Unread() bool {
+// HasUnread tells whether bytes came that nobody has read.
+func (w Socket) HasUnread() bool {
 	if w.raw == nil {
 		return false
 	}
@@ -55,8 +55,8 @@
 	return err == nil && n > 0
 }
 
-// Quiet tells whether the connection stands, and nothing came that nobody has read.
-func Quiet(raw syscall.RawConn) bool {
+// IsIdle tells whether the connection stands, and nothing came that nobody has read.
+func IsIdle(raw syscall.RawConn) bool {
 	_, err := peek(raw)
 	return err == unix.EAGAIN
 }
@@ -73,8 +73,8 @@
 	return n, err
 }
 
-// HungUp tells whether the peer has closed the connection, also where bytes that came before are unread.
-func (w Writer) HungUp() (hungUp bool) {
+// PeerClosed tells whether the peer has closed the connection, also where bytes that came before are unread.
+func (w Socket) PeerClosed() (hungUp bool) {
 	if w.raw == nil {
 		return false
 	}
--- a/internal/standin/model.go
+++ b/internal/standin/model.go
@@ -127,7 +127,7 @@
 	m := &Model{set: set, world: world, timers: timers, rng: rand.New(rand.NewSource(set.Seed)), now: now, born: now,
 		work: map[string]*settings.WorkMethod{}, fns: map[string]*copies{}, free: set.Machine.Cores}
 	if !set.Cold {
-		m.born -= set.Ramp.Cold
+		m.born -= set.Rules.Cold
 	}
 	for i := range set.Work {
 		m.work[set.Work[i].Method] = &set.Work[i]
@@ -141,8 +141,8 @@
 
 // capacity is the share of its full speed that the worker has now.
 func (m *Model) capacity() float64 {
-	if age := m.now - m.born; age < m.set.Ramp.Cold {
-		return m.set.Ramp.ColdFrom + (1-m.set.Ramp.ColdFrom)*float64(age)/float64(m.set.Ramp.Cold)
+	if age := m.now - m.born; age < m.set.Rules.Cold {
+		return m.set.Rules.ColdFrom + (1-m.set.Rules.ColdFrom)*float64(age)/float64(m.set.Rules.Cold)
 	}
 	return 1
 }
@@ -240,7 +240,7 @@
 
 // press counts what is pushed at a cold worker; too much within the window has it fall.
 func (m *Model) press(j *Job) {
-	r := &m.set.Ramp
+	r := &m.set.Rules
 	if m.now-m.born >= r.Cold || m.fallen {
 		return
 	}
--- a/internal/standin/roster.go
+++ b/internal/standin/roster.go
@@ -44,14 +44,14 @@
 	cold                            bool
 }
 
-// Begin implements turn.Machine.
-func (r *roster) Begin(router.Time) {}
+// BeginTurn implements turn.Machine.
+func (r *roster) BeginTurn(router.Time) {}
 
-// End implements turn.Machine.
-func (r *roster) End() { r.timers.Fire(r.loop.Now()) }
+// EndTurn implements turn.Machine.
+func (r *roster) EndTurn() { r.timers.Fire(r.loop.Now()) }
 
-// Due implements turn.Machine.
-func (r *roster) Due() (router.Time, bool) { return r.timers.Due() }
+// NextDue implements turn.Machine.
+func (r *roster) NextDue() (router.Time, bool) { return r.timers.NextDue() }
 
 // Roster runs a stand-in roster until the context ends, with a stand-in store where its settings have one.
 func Roster(ctx context.Context, set *settings.Roster, log zerolog.Logger, ready func()) error {
@@ -97,8 +97,8 @@
 	workers  []string // that joined here
 }
 
-// Asked implements jsonrpc.Peer.
-func (c *rosterConn) Asked(_ jsonrpc.ID, method string, params []byte) {
+// HandleRequest implements jsonrpc.Peer.
+func (c *rosterConn) HandleRequest(_ jsonrpc.ID, method string, params []byte) {
 	params = bytes.Clone(params)
 	switch method {
 	case "roster.watch":
@@ -172,10 +172,10 @@
 			b = append(b, ',')
 		}
 		some = true
-		b = jsonrpc.AppendText(append(b, `{"name":`...), name)
+		b = jsonrpc.AppendString(append(b, `{"name":`...), name)
 		for _, f := range [][2]string{{"socket", m.socket}, {"state", m.state}, {"zone", m.zone}, {"cell", m.cell},
 			{"kind", m.kind}} {
-			b = jsonrpc.AppendText(append(jsonrpc.AppendText(append(b, ','), f[0]), ':'), f[1])
+			b = jsonrpc.AppendString(append(jsonrpc.AppendString(append(b, ','), f[0]), ':'), f[1])
 		}
 		age := -1.0 // it was warm when it came: long ago
 		if m.cold {
@@ -219,14 +219,14 @@
 	timers turn.Timers
 }
 
-// Begin implements turn.Machine.
-func (s *store) Begin(router.Time) {}
+// BeginTurn implements turn.Machine.
+func (s *store) BeginTurn(router.Time) {}
 
-// End implements turn.Machine.
-func (s *store) End() { s.timers.Fire(s.loop.Now()) }
+// EndTurn implements turn.Machine.
+func (s *store) EndTurn() { s.timers.Fire(s.loop.Now()) }
 
-// Due implements turn.Machine.
-func (s *store) Due() (router.Time, bool) { return s.timers.Due() }
+// NextDue implements turn.Machine.
+func (s *store) NextDue() (router.Time, bool) { return s.timers.NextDue() }
 
 func serveStore(ctx context.Context, set *settings.Store, l net.Listener) error {
 	s := &store{loop: turn.NewLoop()}
@@ -247,11 +247,11 @@
 	s *store
 }
 
-// Asked implements jsonrpc.Peer.
-func (c *storeConn) Asked(id jsonrpc.ID, method string, params []byte) {
+// HandleRequest implements jsonrpc.Peer.
+func (c *storeConn) HandleRequest(id jsonrpc.ID, method string, params []byte) {
 	key := bytes.Clone(id)
-	usual, _ := jsonrpc.Number(jsontext.Value(jsonrpc.Member(params, "usual_ms")))
-	window, _ := jsonrpc.Number(jsontext.Value(jsonrpc.Member(params, "window_ms")))
+	usual, _ := jsonrpc.ParseNumber(jsontext.Value(jsonrpc.Member(params, "usual_ms")))
+	window, _ := jsonrpc.ParseNumber(jsontext.Value(jsonrpc.Member(params, "window_ms")))
 	token := member(params, "group") + "\x00" + member(params, "token")
 	c.s.loop.Post(func() {
 		switch method {
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -56,14 +56,14 @@
 	conns map[*host]bool
 }
 
-// Begin implements turn.Machine.
-func (w *worker) Begin(now router.Time) { w.model.Begin(now) }
+// BeginTurn implements turn.Machine.
+func (w *worker) BeginTurn(now router.Time) { w.model.Begin(now) }
 
-// End implements turn.Machine.
-func (w *worker) End() { w.timers.Fire(w.loop.Now()) }
+// EndTurn implements turn.Machine.
+func (w *worker) EndTurn() { w.timers.Fire(w.loop.Now()) }
 
-// Due implements turn.Machine.
-func (w *worker) Due() (router.Time, bool) { return w.timers.Due() }
+// NextDue implements turn.Machine.
+func (w *worker) NextDue() (router.Time, bool) { return w.timers.NextDue() }
 
 // Worker runs a stand-in worker until the context ends: it then tells the roster that it drains, takes nothing new,
 // ends what it holds within the drain time, and leaves. A fault that kills it ends it with an error.
@@ -90,10 +90,10 @@
 	}
 	cold := 0.0
 	if set.Cold {
-		cold = float64(set.Ramp.Cold) / 10
+		cold = float64(set.Rules.Cold) / 10
 	}
 	if err := rec.Add(record.Record{Kind: record.Began, Who: set.Name, Zone: set.Zone, Cell: set.Cell, Cold: cold,
-		From: set.Ramp.ColdFrom, Cores: float64(set.Machine.Cores) * set.Machine.Speed}); err != nil {
+		From: set.Rules.ColdFrom, Cores: float64(set.Machine.Cores) * set.Machine.Speed}); err != nil {
 		l.Close()
 		return err
 	}
@@ -152,7 +152,7 @@
 		return nil, err
 	}
 	c := jsonrpc.NewCaller(nc, valueLimit)
-	c.Other = other
+	c.OnNotification = other
 	group.Go(func() error { _ = c.Run(ctx); return nil })
 	return c, nil
 }
@@ -199,17 +199,17 @@
 	if w.roster == nil {
 		return
 	}
-	b := jsonrpc.AppendText([]byte(`{"name":`), w.set.Name)
+	b := jsonrpc.AppendString([]byte(`{"name":`), w.set.Name)
 	for _, f := range [][2]string{{"socket", w.set.Socket}, {"zone", w.set.Zone}, {"cell", w.set.Cell},
 		{"kind", w.set.Kind}, {"state", state}} {
-		b = jsonrpc.AppendText(append(jsonrpc.AppendText(append(b, ','), f[0]), ':'), f[1])
+		b = jsonrpc.AppendString(append(jsonrpc.AppendString(append(b, ','), f[0]), ':'), f[1])
 	}
 	b = append(strconv.AppendBool(append(b, `,"cold":`...), w.set.Cold), '}')
-	w.roster.Tell("roster.join", b)
+	w.roster.Notify("roster.join", b)
 }
 
 func (w *worker) lookAt(now router.Time) {
-	every := min(w.set.Machine.ReportEvery, turn.Span(lookEvery))
+	every := min(w.set.Machine.ReportEvery, turn.FromDuration(lookEvery))
 	w.timers.Set(&w.look, now+every, func(now router.Time) {
 		w.model.Begin(now)
 		w.model.Look()
@@ -219,17 +219,17 @@
 
 // server is one who is asked on a connection, and asks nothing.
 type server struct {
-	jsonrpc.Singly
+	jsonrpc.IgnoreBatches
 	c *jsonrpc.Conn
 }
 
-// Broken implements jsonrpc.Peer.
-func (s *server) Broken(id jsonrpc.ID, code int, message string) {
+// HandleInvalid implements jsonrpc.Peer.
+func (s *server) HandleInvalid(id jsonrpc.ID, code int, message string) {
 	s.c.Write(jsonrpc.AppendError(nil, id, code, message, nil))
 }
 
-// Answered implements jsonrpc.Peer.
-func (s *server) Answered(jsonrpc.ID, []byte, int, string, []byte) {}
+// HandleResponse implements jsonrpc.Peer.
+func (s *server) HandleResponse(jsonrpc.ID, []byte, int, string, []byte) {}
 
 // host is a front end's connection.
 type host struct {
@@ -242,7 +242,7 @@
 
 func (w *worker) serve(ctx context.Context, nc net.Conn) {
 	h := &host{w: w, server: server{c: jsonrpc.NewConn(nc, valueLimit)}, jobs: map[string]*Job{}}
-	h.c.Codec = func() func(io.Reader) error {
+	h.c.NextCodec = func() func(io.Reader) error {
 		if !h.binary.Load() {
 			return nil
 		}
@@ -251,34 +251,34 @@
 	w.mu.Lock()
 	w.conns[h] = true
 	w.mu.Unlock()
-	ready := append(jsonrpc.AppendText([]byte(`{"worker":`), w.set.Name), `,"protocol":`...)
-	h.c.Write(jsonrpc.AppendRequest(nil, nil, "client.ready", append(strconv.AppendInt(ready, links.Version, 10), `,"codecs":["cbor"],"batches":true}`...)))
+	ready := append(jsonrpc.AppendString([]byte(`{"worker":`), w.set.Name), `,"protocol":`...)
+	h.c.Write(jsonrpc.AppendRequest(nil, nil, "client.ready", append(strconv.AppendInt(ready, links.ProtocolVersion, 10), `,"codecs":["cbor"],"batches":true}`...)))
 	_ = h.c.Serve(ctx, h)
 	w.mu.Lock()
 	delete(w.conns, h)
 	w.mu.Unlock()
 }
 
-// Asked implements jsonrpc.Peer.
-func (h *host) Asked(id jsonrpc.ID, method string, params []byte) {
+// HandleRequest implements jsonrpc.Peer.
+func (h *host) HandleRequest(id jsonrpc.ID, method string, params []byte) {
 	var blob []byte
-	if text, is := jsonrpc.Text(jsonrpc.Member(params, "blob")); is {
+	if text, is := jsonrpc.ParseString(jsonrpc.Member(params, "blob")); is {
 		var err error
 		if blob, err = base64.StdEncoding.DecodeString(text); err != nil {
 			h.fail(bytes.Clone(id), jsonrpc.InvalidParams, "blob: "+err.Error(), nil)
 			return
 		}
 	}
-	h.AskedWith(id, method, params, blob)
+	h.HandleRequestBlob(id, method, params, blob)
 }
 
-// AnsweredWith implements frames.Peer.
-func (h *host) AnsweredWith([]byte, []byte, int, string, []byte, []byte) {}
+// HandleResponseBlob implements frames.Peer.
+func (h *host) HandleResponseBlob([]byte, []byte, int, string, []byte, []byte) {}
 
 // result and fail answer in the codec agreed on.
 func (h *host) result(id, result, blob []byte) {
 	if h.binary.Load() {
-		h.c.WriteRaw(frames.AppendAnswer(nil, id, result, 0, "", nil, blob))
+		h.c.WriteRaw(frames.AppendResponse(nil, id, result, 0, "", nil, blob))
 		return
 	}
 	if len(blob) > 0 {
@@ -290,14 +290,14 @@
 
 func (h *host) fail(id []byte, code int, message string, data []byte) {
 	if h.binary.Load() {
-		h.c.WriteRaw(frames.AppendAnswer(nil, id, nil, code, message, data, nil))
+		h.c.WriteRaw(frames.AppendResponse(nil, id, nil, code, message, data, nil))
 		return
 	}
 	h.c.Write(jsonrpc.AppendError(nil, id, code, message, data))
 }
 
-// AskedWith implements frames.Peer.
-func (h *host) AskedWith(id []byte, method string, params, blob []byte) {
+// HandleRequestBlob implements frames.Peer.
+func (h *host) HandleRequestBlob(id []byte, method string, params, blob []byte) {
 	if method == "host.batch" {
 		h.batch(params, blob)
 		return
@@ -307,28 +307,28 @@
 	var time_ms, copies float64
 	var called jsontext.Value
 	if len(params) > 0 {
-		_ = jsonrpc.Members(params, func(name []byte, v jsontext.Value) error {
+		_ = jsonrpc.ForEachMember(params, func(name []byte, v jsontext.Value) error {
 			switch string(name) {
 			case "front_end":
-				h.name, _ = jsonrpc.Text(v)
+				h.name, _ = jsonrpc.ParseString(v)
 			case "method":
-				j.Method, _ = jsonrpc.Text(v)
+				j.Method, _ = jsonrpc.ParseString(v)
 			case "function":
-				j.Function, _ = jsonrpc.Text(v)
+				j.Function, _ = jsonrpc.ParseString(v)
 			case "token":
-				j.Token, _ = jsonrpc.Text(v)
+				j.Token, _ = jsonrpc.ParseString(v)
 			case "time_ms":
-				time_ms, _ = jsonrpc.Number(v)
+				time_ms, _ = jsonrpc.ParseNumber(v)
 			case "memory_mb":
-				j.Memory, _ = jsonrpc.Number(v)
+				j.Memory, _ = jsonrpc.ParseNumber(v)
 			case "lanes":
-				lanes, _ := jsonrpc.Number(v)
+				lanes, _ := jsonrpc.ParseNumber(v)
 				j.Lanes = int(lanes)
 			case "load_ms":
-				load, _ := jsonrpc.Number(v)
+				load, _ := jsonrpc.ParseNumber(v)
 				j.Load = router.Time(load * 10)
 			case "copies":
-				copies, _ = jsonrpc.Number(v)
+				copies, _ = jsonrpc.ParseNumber(v)
 			case "payload":
 				j.Payload = bytes.Clone(v)
 			case "id":
@@ -339,7 +339,7 @@
 	}
 	switch method {
 	case "host.codec": // from here on both sides send frames
-		h.c.Write(jsonrpc.AppendRequest(nil, nil, "client.codec", append(jsonrpc.AppendText([]byte(`{"codec":`), frames.Name), '}')))
+		h.c.Write(jsonrpc.AppendRequest(nil, nil, "client.codec", append(jsonrpc.AppendString([]byte(`{"codec":`), frames.CodecName), '}')))
 		h.binary.Store(true)
 	case "host.request":
 		j.Blob = blob
@@ -409,7 +409,7 @@
 	var keys []string
 	var spans []router.Time
 	err := tensor.Each(jsonrpc.Member(params, "requests"), "requests", func(part jsontext.Value) error {
-		number := func(name string) float64 { n, _ := jsonrpc.Number(jsonrpc.Member(part, name)); return n }
+		number := func(name string) float64 { n, _ := jsonrpc.ParseNumber(jsonrpc.Member(part, name)); return n }
 		size := int(number("blob_bytes"))
 		if size < 0 || size > len(blob) {
 			return fmt.Errorf("blob_bytes %d, but %d bytes are left", size, len(blob))
@@ -452,7 +452,7 @@
 func (h *host) answer(id jsonrpc.ID, j *Job, a Answer) {
 	b := append(strconv.AppendInt([]byte(`{"crowd":`), int64(a.Crowd), 10), ',')
 	if a.Warmth != "" {
-		b = append(jsonrpc.AppendText(append(b, `"warmth":`...), a.Warmth), ',')
+		b = append(jsonrpc.AppendString(append(b, `"warmth":`...), a.Warmth), ',')
 	}
 	b = h.w.appendReport(b)
 	if a.Code != 0 {
@@ -470,7 +470,7 @@
 		h.result(id, append(append(append(b, `,"value":`...), value...), '}'), blob)
 		return
 	}
-	b = jsonrpc.AppendText(append(b, `,"value":{"worker":`...), h.w.set.Name)
+	b = jsonrpc.AppendString(append(b, `,"value":{"worker":`...), h.w.set.Name)
 	payload := j.Payload
 	if len(payload) == 0 {
 		payload = []byte("null")
@@ -513,9 +513,9 @@
 		w.timers.Set(new(turn.Timer), w.loop.Now()+usual, func(now router.Time) { w.model.Begin(now); done(true) })
 		return
 	}
-	b := jsonrpc.AppendText([]byte(`{"function":`), function)
+	b := jsonrpc.AppendString([]byte(`{"function":`), function)
 	b = append(strconv.AppendFloat(append(b, `,"usual_ms":`...), float64(usual)/10, 'f', 1, 64), '}')
-	w.store.Ask("store.fetch", b, func(a jsonrpc.Answer) {
+	w.store.CallAsync("store.fetch", b, func(a jsonrpc.Response) {
 		w.loop.Post(func() { done(a.Err == nil && a.Code == 0) })
 	})
 }
@@ -526,9 +526,9 @@
 		w.loop.Post(func() { done(true, true) })
 		return
 	}
-	b := jsonrpc.AppendText(append(jsonrpc.AppendText([]byte(`{"group":`), group), `,"token":`...), token)
+	b := jsonrpc.AppendString(append(jsonrpc.AppendString([]byte(`{"group":`), group), `,"token":`...), token)
 	b = append(strconv.AppendFloat(append(b, `,"window_ms":`...), float64(window)/10, 'f', 1, 64), '}')
-	w.store.Ask("token.claim", b, func(a jsonrpc.Answer) {
+	w.store.CallAsync("token.claim", b, func(a jsonrpc.Response) {
 		w.loop.Post(func() { done(string(a.Result) == "true", a.Err == nil && a.Code == 0) })
 	})
 }
@@ -544,11 +544,11 @@
 	w *worker
 }
 
-// Asked implements jsonrpc.Peer.
-func (c *control) Asked(id jsonrpc.ID, method string, params []byte) {
+// HandleRequest implements jsonrpc.Peer.
+func (c *control) HandleRequest(id jsonrpc.ID, method string, params []byte) {
 	w, key := c.w, bytes.Clone(id)
 	number := func(name string) float64 {
-		n, _ := jsonrpc.Number(jsonrpc.Member(params, name))
+		n, _ := jsonrpc.ParseNumber(jsonrpc.Member(params, name))
 		return n
 	}
 	span := router.Time(number("for_ms") * 10)
@@ -580,7 +580,7 @@
 		return
 	}
 	w.loop.Post(func() {
-		w.log.Info().Str("fault", method).Float64("size", size).Dur("for", turn.Duration(span)).Msg("fault on command")
+		w.log.Info().Str("fault", method).Float64("size", size).Dur("for", turn.ToDuration(span)).Msg("fault on command")
 		do()
 		c.c.Write(jsonrpc.AppendResult(nil, key, []byte("true")))
 	})
@@ -606,6 +606,6 @@
 }
 
 func member(object []byte, name string) string {
-	text, _ := jsonrpc.Text(jsonrpc.Member(object, name))
+	text, _ := jsonrpc.ParseString(jsonrpc.Member(object, name))
 	return text
 }
--- a/internal/steer/steer.go
+++ b/internal/steer/steer.go
@@ -38,10 +38,10 @@
 type Options struct {
 	Name                 string
 	Sockets              []string
-	Keep                 lastgood.Store
+	Store                lastgood.Store
 	RedialMin, RedialMax time.Duration
-	FiguresEvery         time.Duration
-	Figures              func() *wire.Figures
+	ReportInterval       time.Duration
+	Counters             func() *wire.Figures
 	Check                func(version uint64, text string) (Change, error)
 	Log                  zerolog.Logger
 }
@@ -50,22 +50,22 @@
 type Status struct {
 	Version   uint64  `json:"version"` // 0: its own settings
 	Digest    string  `json:"digest,omitempty"`
-	From      string  `json:"from"` // own settings, disk, service
-	Kept      bool    `json:"kept"`
+	Source    string  `json:"from"` // own settings, disk, service
+	Saved     bool    `json:"kept"`
 	Connected bool    `json:"connected"`
 	SilentMs  float64 `json:"silent_ms"` // since the service was last heard of
 	Refused   uint64  `json:"refused,omitempty"`
 	Reason    string  `json:"reason,omitempty"`
 }
 
-// Steer follows. Its events are done one after the other by Run.
-type Steer struct {
+// Client follows. Its events are done one after the other by Run.
+type Client struct {
 	o      Options
 	f      *adopt.Follower
 	events chan func()
 	quit   chan struct{} // closed once Run is over: events are passed over
 
-	parts  []settings.Part // of what is held
+	parts  []settings.Resource // of what is held
 	from   string
 	offers map[adopt.Version]*offer
 	send   func(*wire.FollowRequest) // nil: no stream
@@ -75,37 +75,37 @@
 
 // offer is a version that came, put together.
 type offer struct {
-	parts  []settings.Part
+	parts  []settings.Resource
 	text   string
 	change Change
 }
 
-// Boot is what a front end begins with.
-type Boot struct {
-	Kept lastgood.Kept
-	From string
+// Initial is what a front end begins with.
+type Initial struct {
+	Saved  lastgood.Saved
+	Source string
 }
 
-// Load reads the kept version, if there is a good one, and says so.
-func Load(o Options) (Boot, bool) {
-	k, problems, ok := o.Keep.Load()
+// LoadInitial reads the kept version, if there is a good one, and says so.
+func LoadInitial(o Options) (Initial, bool) {
+	k, problems, ok := o.Store.Load()
 	for _, p := range problems {
 		o.Log.Warn().Err(p).Msg("a kept configuration is spoilt and not used")
 	}
 	if !ok {
-		return Boot{From: "own settings"}, false
+		return Initial{Source: "own settings"}, false
 	}
-	return Boot{Kept: k, From: "disk"}, true
+	return Initial{Saved: k, Source: "disk"}, true
 }
 
 // New makes a follower that has b in force.
-func New(o Options, b Boot) *Steer {
-	s := &Steer{o: o, events: make(chan func(), 64), quit: make(chan struct{}), from: b.From, heard: time.Now(),
+func New(o Options, b Initial) *Client {
+	s := &Client{o: o, events: make(chan func(), 64), quit: make(chan struct{}), from: b.Source, heard: time.Now(),
 		offers: map[adopt.Version]*offer{}}
-	held := adopt.Held{}
-	if b.Kept.Version > 0 {
-		held = adopt.Held{Version: adopt.Version(b.Kept.Version), Digest: resources.Digest(b.Kept.Text)}
-		if _, parts, err := resources.Canonical("kept", b.Kept.Text); err == nil { // it was in force
+	held := adopt.VersionRef{}
+	if b.Saved.Version > 0 {
+		held = adopt.VersionRef{Version: adopt.Version(b.Saved.Version), Digest: resources.Digest(b.Saved.Text)}
+		if _, parts, err := resources.Canonical("kept", b.Saved.Text); err == nil { // it was in force
 			s.parts = parts
 		}
 	}
@@ -115,20 +115,20 @@
 }
 
 // Status may be asked by any goroutine.
-func (s *Steer) Status() Status {
+func (s *Client) Status() Status {
 	return *s.status.Load()
 }
 
 // tell renews the status.
-func (s *Steer) tell() {
-	held, kept := s.f.Held()
-	refused, why := s.f.Refused()
-	s.status.Store(&Status{Version: uint64(held.Version), Digest: held.Digest, From: s.from, Kept: kept,
+func (s *Client) tell() {
+	held, kept := s.f.Current()
+	refused, why := s.f.LastRefused()
+	s.status.Store(&Status{Version: uint64(held.Version), Digest: held.Digest, Source: s.from, Saved: kept,
 		Connected: s.send != nil, SilentMs: float64(time.Since(s.heard).Milliseconds()), Refused: uint64(refused.Version), Reason: why})
 }
 
 // post has f done by Run.
-func (s *Steer) post(f func()) {
+func (s *Client) post(f func()) {
 	select {
 	case s.events <- f:
 	case <-s.quit:
@@ -136,10 +136,10 @@
 }
 
 // Run follows until the context ends.
-func (s *Steer) Run(ctx context.Context) error {
+func (s *Client) Run(ctx context.Context) error {
 	done := make(chan struct{})
 	go func() { defer close(done); s.follow(ctx) }()
-	ticker := time.NewTicker(s.o.FiguresEvery)
+	ticker := time.NewTicker(s.o.ReportInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -147,8 +147,8 @@
 			f()
 		case <-ticker.C:
 			if s.send != nil {
-				held, kept := s.f.Held()
-				refused, _ := s.f.Refused()
+				held, kept := s.f.Current()
+				refused, _ := s.f.LastRefused()
 				s.say(&wire.FollowRequest{Version: uint64(held.Version), Digest: held.Digest, Kept: kept, Refused: uint64(refused.Version)})
 			}
 		case <-ctx.Done():
@@ -166,19 +166,19 @@
 }
 
 // say sends a message with the figures of now.
-func (s *Steer) say(r *wire.FollowRequest) {
+func (s *Client) say(r *wire.FollowRequest) {
 	if s.send == nil {
 		return
 	}
 	r.Follower = s.o.Name
-	if s.o.Figures != nil {
-		r.Figures = s.o.Figures()
+	if s.o.Counters != nil {
+		r.Figures = s.o.Counters()
 	}
 	s.send(r)
 }
 
 // follow keeps a stream to the instance that leads.
-func (s *Steer) follow(ctx context.Context) {
+func (s *Client) follow(ctx context.Context) {
 	pause, silent := s.o.RedialMin, false
 	for at := 0; ctx.Err() == nil; at = (at + 1) % len(s.o.Sockets) {
 		stood, err := s.stream(ctx, s.o.Sockets[at])
@@ -207,7 +207,7 @@
 }
 
 // stream follows one instance; stood: it was taken.
-func (s *Steer) stream(ctx context.Context, socket string) (stood bool, err error) {
+func (s *Client) stream(ctx context.Context, socket string) (stood bool, err error) {
 	ctx, end := context.WithCancel(ctx)
 	defer end()
 	cc, err := grpc.NewClient("unix:"+socket, grpc.WithTransportCredentials(insecure.NewCredentials()),
@@ -248,7 +248,7 @@
 				end()
 			}
 		}
-		s.f.Connected()
+		s.f.HandleConnect()
 		close(up)
 	})
 	defer func() {
@@ -256,7 +256,7 @@
 		<-sent
 		s.post(func() {
 			s.send = nil
-			s.f.Lost()
+			s.f.HandleDisconnect()
 		})
 	}()
 	select {
@@ -282,69 +282,69 @@
 }
 
 // offered puts a response together and hands it to the module.
-func (s *Steer) offered(r *wire.FollowResponse) {
+func (s *Client) offered(r *wire.FollowResponse) {
 	s.heard = time.Now()
-	o := adopt.Offer{Held: adopt.Held{Version: adopt.Version(r.Version), Digest: r.Digest}, Nonce: r.Nonce, Base: adopt.Version(r.Base)}
-	held, _ := s.f.Held()
-	var base []settings.Part
+	o := adopt.Offer{VersionRef: adopt.VersionRef{Version: adopt.Version(r.Version), Digest: r.Digest}, Nonce: r.Nonce, Base: adopt.Version(r.Base)}
+	held, _ := s.f.Current()
+	var base []settings.Resource
 	if r.Base != 0 && o.Base == held.Version {
 		base = s.parts
 	}
-	var set []settings.Part
+	var set []settings.Resource
 	for _, p := range r.Resources {
-		set = append(set, settings.Part{Type: p.GetId().GetType(), Name: p.GetId().GetName(), Text: p.Text})
+		set = append(set, settings.Resource{Type: p.GetId().GetType(), Name: p.GetId().GetName(), Text: p.Text})
 	}
 	var removed []resources.ID
 	for _, id := range r.Removed {
 		removed = append(removed, resources.ID{Type: id.Type, Name: id.Name})
 	}
 	parts := resources.Patch(base, set, removed)
-	text := settings.TextOf(parts)
-	o.Sound = resources.Digest(text) == r.Digest
+	text := settings.ResourcesText(parts)
+	o.DigestOK = resources.Digest(text) == r.Digest
 	if was := s.offers[o.Version]; was == nil || was.change == nil { // one that is being applied stays
 		s.offers[o.Version] = &offer{parts: parts, text: text}
 	}
-	s.f.Offered(o)
+	s.f.HandleOffer(o)
 }
 
 // port is what the module acts through.
-type port Steer
+type port Client
 
 // Check implements adopt.Port.
 func (p *port) Check(v adopt.Version) {
-	s, o := (*Steer)(p), p.offers[v]
+	s, o := (*Client)(p), p.offers[v]
 	go func() {
 		change, err := s.o.Check(uint64(v), o.text)
 		s.post(func() {
 			if o.change = change; err != nil {
-				s.f.Checked(v, err.Error())
+				s.f.HandleCheckResult(v, err.Error())
 				return
 			}
-			s.f.Checked(v, "")
+			s.f.HandleCheckResult(v, "")
 		})
 	}()
 }
 
 // Apply implements adopt.Port.
 func (p *port) Apply(v adopt.Version) {
-	s, o := (*Steer)(p), p.offers[v]
+	s, o := (*Client)(p), p.offers[v]
 	go func() {
 		err := o.change.Apply()
 		s.post(func() {
 			o.change = nil
 			if err != nil {
-				s.f.Applied(v, err.Error())
+				s.f.HandleApplyResult(v, err.Error())
 				return
 			}
 			s.from = "service"
-			s.f.Applied(v, "")
+			s.f.HandleApplyResult(v, "")
 		})
 	}()
 }
 
-// Keep implements adopt.Port.
-func (p *port) Keep(v adopt.Version) {
-	s, o := (*Steer)(p), p.offers[v]
+// Save implements adopt.Port.
+func (p *port) Save(v adopt.Version) {
+	s, o := (*Client)(p), p.offers[v]
 	s.parts = o.parts
 	for other := range s.offers {
 		if other <= v {
@@ -352,20 +352,20 @@
 		}
 	}
 	go func() {
-		err := s.o.Keep.Save(lastgood.Kept{Version: uint64(v), Saved: time.Now(), Text: o.text})
+		err := s.o.Store.Save(lastgood.Saved{Version: uint64(v), SavedAt: time.Now(), Text: o.text})
 		s.post(func() {
 			if err != nil {
-				s.f.Kept(v, err.Error())
+				s.f.HandleSaveResult(v, err.Error())
 				return
 			}
-			s.f.Kept(v, "")
+			s.f.HandleSaveResult(v, "")
 		})
 	}()
 }
 
 func (p *port) answer(nonce string, more func(*wire.FollowRequest)) {
-	s := (*Steer)(p)
-	held, kept := s.f.Held()
+	s := (*Client)(p)
+	held, kept := s.f.Current()
 	r := &wire.FollowRequest{Version: uint64(held.Version), Digest: held.Digest, Kept: kept, Nonce: nonce}
 	if more != nil {
 		more(r)
@@ -376,23 +376,23 @@
 // Accept implements adopt.Port.
 func (p *port) Accept(nonce string, _ bool) { p.answer(nonce, nil) }
 
-// TurnDown implements adopt.Port.
-func (p *port) TurnDown(nonce string, v adopt.Version, why string) {
+// Refuse implements adopt.Port.
+func (p *port) Refuse(nonce string, v adopt.Version, why string) {
 	p.answer(nonce, func(r *wire.FollowRequest) {
 		r.Refused = uint64(v)
 		r.ErrorDetail = &rpcstatus.Status{Code: int32(codes.InvalidArgument), Message: why}
 	})
 }
 
-// AskWhole implements adopt.Port.
-func (p *port) AskWhole(nonce string) {
+// RequestFull implements adopt.Port.
+func (p *port) RequestFull(nonce string) {
 	p.answer(nonce, func(r *wire.FollowRequest) { r.Whole = true })
 }
 
 // Log implements adopt.Port.
 func (p *port) Log(text string) { p.o.Log.Info().Str("from", "configuration").Msg(text) }
 
-// Tell implements adopt.Port.
-func (p *port) Tell(held adopt.Held, refused adopt.Version, kept, _ bool) {
-	(*Steer)(p).say(&wire.FollowRequest{Version: uint64(held.Version), Digest: held.Digest, Kept: kept, Refused: uint64(refused)})
+// SendStatus implements adopt.Port.
+func (p *port) SendStatus(held adopt.VersionRef, refused adopt.Version, kept, _ bool) {
+	(*Client)(p).say(&wire.FollowRequest{Version: uint64(held.Version), Digest: held.Digest, Kept: kept, Refused: uint64(refused)})
 }
--- a/internal/tensor/form.go
+++ b/internal/tensor/form.go
@@ -68,8 +68,8 @@
 		if i > 0 {
 			b = append(b, ',')
 		}
-		b = jsonrpc.AppendText(append(b, `{"name":`...), t.Name)
-		b = jsonrpc.AppendText(append(b, `,"datatype":`...), t.Datatype)
+		b = jsonrpc.AppendString(append(b, `{"name":`...), t.Name)
+		b = jsonrpc.AppendString(append(b, `,"datatype":`...), t.Datatype)
 		b = AppendShape(append(b, `,"shape":`...), t.Shape)
 		b = base64.StdEncoding.AppendEncode(append(b, `,"raw":"`...), t.Raw)
 		b = append(b, `"}`...)
@@ -87,8 +87,8 @@
 		if i > 0 {
 			b = append(b, ',')
 		}
-		b = jsonrpc.AppendText(append(b, `{"name":`...), t.Name)
-		b = jsonrpc.AppendText(append(b, `,"datatype":`...), t.Datatype)
+		b = jsonrpc.AppendString(append(b, `{"name":`...), t.Name)
+		b = jsonrpc.AppendString(append(b, `,"datatype":`...), t.Datatype)
 		b = AppendShape(append(b, `,"shape":`...), t.Shape)
 		b = append(strconv.AppendInt(append(b, `,"size":`...), int64(len(t.Raw)), 10), '}')
 		if len(ts) > 1 {
@@ -102,8 +102,8 @@
 func ReadAll(v, blob []byte) (out []Tensor, err error) {
 	err = Each(v, "tensors", func(part jsontext.Value) (err error) {
 		var t Tensor
-		t.Name, _ = jsonrpc.Text(jsonrpc.Member(part, "name"))
-		t.Datatype, _ = jsonrpc.Text(jsonrpc.Member(part, "datatype"))
+		t.Name, _ = jsonrpc.ParseString(jsonrpc.Member(part, "name"))
+		t.Datatype, _ = jsonrpc.ParseString(jsonrpc.Member(part, "datatype"))
 		if t.Shape, err = ReadShape(jsonrpc.Member(part, "shape")); err != nil {
 			return err
 		}
@@ -116,7 +116,7 @@
 			out = append(out, t)
 			return t.Check()
 		}
-		text, _ := jsonrpc.Text(jsonrpc.Member(part, "raw"))
+		text, _ := jsonrpc.ParseString(jsonrpc.Member(part, "raw"))
 		if t.Raw, err = base64.StdEncoding.DecodeString(text); err != nil {
 			return err
 		}
--- a/internal/terms/terms.go
+++ b/internal/terms/terms.go
@@ -16,7 +16,7 @@
 
 	May            = "may"
 	Retract        = "retract"
-	ConnectTimeOut = "connect-time-out"
+	ConnectTimeout = "connect-time-out"
 	Check          = "check"
 	CallOuts       = "call-outs"
 	ComeBack       = "come-back"
@@ -50,7 +50,7 @@
 	Memory       = "memory"
 	TellsWarm    = "tells-warm"
 	TellsCrowd   = "tells-crowd"
-	OrderTimeOut = "order-time-out"
+	OrderTimeout = "order-time-out"
 
 	Methods      = "methods"
 	SoftDeadline = "soft-deadline"
@@ -91,11 +91,11 @@
 	Loads   = "loads"
 )
 
-// Path joins two levels.
-func Path(level, name string) string { return level + "." + name }
+// Join joins two levels.
+func Join(level, name string) string { return level + "." + name }
 
-// At is the name of a list's i-th place, or of a setting there.
-func At(list string, i int, name string) string {
+// Item is the name of a list's i-th place, or of a setting there.
+func Item(list string, i int, name string) string {
 	at := list + "." + strconv.Itoa(i)
 	if name == "" {
 		return at
--- a/internal/thrift/conn.go
+++ b/internal/thrift/conn.go
@@ -23,7 +23,7 @@
 type conn struct {
 	s       *Server
 	nc      net.Conn
-	now     sock.Writer
+	now     sock.Socket
 	since   atomic.Int64 // when it last sent a message or had an answer, Unix ns
 	spoke   atomic.Bool  // it sent a whole message
 	strikes atomic.Int32 // messages that could not be served, one after the other
@@ -51,11 +51,11 @@
 	c      *conn
 	seq    int32
 	ticket uint64
-	ask    *front.Ask
+	ask    *front.Request
 }
 
 func newConn(s *Server, nc net.Conn) *conn {
-	c := &conn{s: s, nc: nc, now: sock.NewWriter(nc), asks: map[int32]*pending{}}
+	c := &conn{s: s, nc: nc, now: sock.NewSocket(nc), asks: map[int32]*pending{}}
 	c.since.Store(time.Now().UnixNano())
 	return c
 }
@@ -80,7 +80,7 @@
 func (c *conn) closeIdle(half time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.idleNow(half) || c.reading.IsZero() && c.now.Unread() {
+	if !c.idleNow(half) || c.reading.IsZero() && c.now.HasUnread() {
 		return false
 	}
 	c.closing = true
@@ -199,7 +199,7 @@
 func (c *conn) rest() (gone bool) {
 	for until := time.Now().Add(strikeRest); time.Now().Before(until) && !gone; {
 		time.Sleep(strikeLook)
-		gone = c.now.HungUp()
+		gone = c.now.PeerClosed()
 	}
 	return gone
 }
@@ -243,17 +243,17 @@
 		case err != nil:
 			c.last = seq
 			c.refuse(seq, err)
-		case !c.s.fresh(number(p.Ticket), c):
+		case !c.s.fresh(number(p.ClientRPCID), c):
 			c.last = seq
 			c.refuse(seq, errSeen)
 		default:
 			c.last = seq
 			c.strikes.Store(0)
-			a := &pending{c: c, seq: seq, ticket: number(p.Ticket)}
+			a := &pending{c: c, seq: seq, ticket: number(p.ClientRPCID)}
 			c.asks[seq] = a
 			c.s.tickets[0][a.ticket] = a
-			c.s.o.Log.Debug().Float64("budget", p.Time).Bool("again", p.Repeat).Int("method", p.Method).Msg("take")
-			a.ask = c.at().Take(p, turn.Span(time.Since(came)), a)
+			c.s.o.Log.Debug().Float64("budget", p.TimeoutMS).Bool("again", p.Repeat).Int("method", p.Method).Msg("take")
+			a.ask = c.at().Submit(p, turn.FromDuration(time.Since(came)), a)
 		}
 	})
 }
@@ -274,7 +274,7 @@
 func (c *conn) interrupt(seq int32) {
 	c.s.loop.Post(func() {
 		if p := c.asks[seq]; p != nil {
-			p.ask.Leave()
+			p.ask.Abandon()
 			p.over()
 		} else if seq > c.last && len(c.early) < openMost { // it came before its RPC
 			if c.early == nil {
@@ -293,15 +293,15 @@
 
 // displace answers an open RPC whose id belongs to another client; in a turn.
 func (p *pending) displace() {
-	p.ask.Leave()
+	p.ask.Abandon()
 	p.c.strikes.Add(1)
-	p.Refused(errSeen.Error())
+	p.Rejected(errSeen.Error())
 }
 
 // at is the connection's place at the desk; in a turn.
 func (c *conn) at() *front.Conn {
 	if c.desk == nil {
-		c.desk = c.s.desk.Open(0)
+		c.desk = c.s.desk.OpenConn(0)
 	}
 	return c.desk
 }
@@ -317,7 +317,7 @@
 			Msg("a connection ends with RPCs open")
 	}
 	if c.desk != nil {
-		c.desk.Leave()
+		c.desk.Close()
 	}
 	for _, p := range c.asks {
 		p.over()
@@ -359,7 +359,7 @@
 	if c.writing {
 		return
 	}
-	c.out = c.out[c.now.Try(c.out):]
+	c.out = c.out[c.now.TryWrite(c.out):]
 	if len(c.out) == 0 {
 		c.out = nil
 		return
@@ -411,8 +411,8 @@
 // Aborted implements front.Reply.
 func (p *pending) Aborted(cause string) { p.answer(failed(p.seq, cause)) }
 
-// Refused implements front.Reply.
-func (p *pending) Refused(message string) { p.answer(failed(p.seq, message)) }
+// Rejected implements front.Reply.
+func (p *pending) Rejected(message string) { p.answer(failed(p.seq, message)) }
 
 func (p *pending) answer(frame []byte) {
 	p.c.say(frame) // first: a connection with nothing open and nothing to write may be closed at any time
@@ -421,19 +421,19 @@
 
 // params reads an RPC's fields; any goroutine may. Nothing unchecked passes here.
 func (s *Server) params(fields map[string]string, body []byte) (p front.Params, err error) {
-	method, known := s.desk.Method(fields["method"])
+	method, known := s.desk.MethodIndex(fields["method"])
 	budget, err := figure(fields["budget"], budgetMost)
 	if err != nil {
 		return p, fmt.Errorf(`"budget": %w`, err)
 	}
 	p = front.Params{Method: method, Function: fields["obj"], Customer: fields["acct"], Token: fields["token"],
-		Ticket: fields["rid"], Time: budget, Blob: body, Repeat: fields["again"] != ""}
+		ClientRPCID: fields["rid"], TimeoutMS: budget, Blob: body, Repeat: fields["again"] != ""}
 	again, marked := fields["again"]
 	switch {
 	case !known:
 		return p, fmt.Errorf(`no method %.40q`, fields["method"])
-	case !hex(p.Ticket, 16):
-		return p, fmt.Errorf(`"rid": %.40q is not 16 hex digits`, p.Ticket)
+	case !hex(p.ClientRPCID, 16):
+		return p, fmt.Errorf(`"rid": %.40q is not 16 hex digits`, p.ClientRPCID)
 	case !hex(p.Function, 16):
 		return p, fmt.Errorf(`"obj": %.40q is not 16 hex digits`, p.Function)
 	case p.Token != "" && !visible(p.Token, 64):
@@ -443,22 +443,22 @@
 	case len(body) > bodyMost:
 		return p, fmt.Errorf("a body of %d bytes, %d are taken", len(body), bodyMost)
 	}
-	if p.Copy, err = s.copyOf(fields["facts"]); err != nil {
+	if p.FunctionSpec, err = s.copyOf(fields["facts"]); err != nil {
 		return p, fmt.Errorf(`"facts": %w`, err)
 	}
-	return p, s.desk.Check(&p)
+	return p, s.desk.Validate(&p)
 }
 
 // copyOf reads what a copy of the function needs.
-func (s *Server) copyOf(facts string) (*engine.Function, error) {
-	fn := &engine.Function{}
+func (s *Server) copyOf(facts string) (*engine.FunctionSpec, error) {
+	fn := &engine.FunctionSpec{}
 	for fact := range strings.SplitSeq(facts, ";") {
 		name, value, _ := strings.Cut(fact, ":")
 		var v float64
 		var err error
 		switch name {
 		case "memory_mb":
-			fn.Memory, err = figure(value, s.bounds.Load().MemoryMost)
+			fn.MemoryMB, err = figure(value, s.bounds.Load().MaxMemoryMB)
 		case "lanes":
 			if v, err = figure(value, lanesMost); err == nil && v != float64(int(v)) {
 				err = fmt.Errorf("%.24q is not whole", value)
@@ -466,13 +466,13 @@
 			fn.Lanes = int(v)
 		case "load_ms":
 			v, err = figure(value, budgetMost)
-			fn.Load = router.Time(v * 10)
+			fn.LoadTime = router.Time(v * 10)
 		}
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
 	}
-	if fn.Memory == 0 || fn.Lanes == 0 {
+	if fn.MemoryMB == 0 || fn.Lanes == 0 {
 		return nil, errors.New("memory_mb or lanes is missing")
 	}
 	return fn, nil
--- a/internal/thrift/server.go
+++ b/internal/thrift/server.go
@@ -18,15 +18,15 @@
 
 // Options are a server's settings.
 type Options struct {
-	Bounds
+	Limits
 	Ready func() bool // what check answers; any goroutine may ask
 	Log   zerolog.Logger
 }
 
-// Bounds are the settings that may change while a server runs.
-type Bounds struct {
-	Connections int     // at once; beyond that one without an open RPC gives way
-	MemoryMost  float64 // MB of a copy: the largest worker's
+// Limits are the settings that may change while a server runs.
+type Limits struct {
+	MaxConnections int     // at once; beyond that one without an open RPC gives way
+	MaxMemoryMB    float64 // MB of a copy: the largest worker's
 }
 
 const (
@@ -47,9 +47,9 @@
 // Server takes connections. The last fields belong to the loop's goroutine.
 type Server struct {
 	o      Options
-	bounds atomic.Pointer[Bounds]
+	bounds atomic.Pointer[Limits]
 	loop   *turn.Loop
-	desk   *front.Desk
+	desk   *front.Dispatcher
 	held   atomic.Int32 // descriptors of connections, from their accept to the end of their close
 	mu     sync.Mutex
 	conns  map[*conn]bool
@@ -61,17 +61,17 @@
 }
 
 // New makes a server for a desk that loop drives.
-func New(loop *turn.Loop, d *front.Desk, o Options) *Server {
+func New(loop *turn.Loop, d *front.Dispatcher, o Options) *Server {
 	s := &Server{o: o, loop: loop, desk: d, conns: map[*conn]bool{}, tickets: [2]map[uint64]*pending{{}, {}}}
-	s.bounds.Store(&o.Bounds)
+	s.bounds.Store(&o.Limits)
 	return s
 }
 
-// Renew takes new bounds; any goroutine may call it. Connections beyond a lower one give way at once, as far as they
+// UpdateSettings takes new bounds; any goroutine may call it. Connections beyond a lower one give way at once, as far as they
 // have no open RPC.
-func (s *Server) Renew(b Bounds) {
+func (s *Server) UpdateSettings(b Limits) {
 	s.bounds.Store(&b)
-	for left := int(s.held.Load()); left > b.Connections && s.giveWay(); left-- {
+	for left := int(s.held.Load()); left > b.MaxConnections && s.giveWay(); left-- {
 	}
 }
 
@@ -101,8 +101,8 @@
 	}
 }
 
-// Last has Serve take what waits in the listener's backlog, and return: a listener that is just closed resets it.
-func Last(l net.Listener) {
+// StopAccepting has Serve take what waits in the listener's backlog, and return: a listener that is just closed resets it.
+func StopAccepting(l net.Listener) {
 	if tcp, is := l.(*net.TCPListener); is && tcp.SetDeadline(time.Now().Add(closeWithin)) == nil {
 		return
 	}
@@ -112,7 +112,7 @@
 // makeRoom tells whether one more connection may be held, and closes another for it where all places are taken. Each
 // counts until its descriptor is closed: one that gave way is waited for.
 func (s *Server) makeRoom() bool {
-	full := func() bool { return int(s.held.Load()) >= s.bounds.Load().Connections }
+	full := func() bool { return int(s.held.Load()) >= s.bounds.Load().MaxConnections }
 	if !full() {
 		return true
 	}
@@ -171,15 +171,15 @@
 	}
 }
 
-// Begin tells the time of a turn.
-func (s *Server) Begin(now router.Time) {
-	if s.now = now; now-s.changed >= turn.Span(ticketsFor) {
+// BeginTurn tells the time of a turn.
+func (s *Server) BeginTurn(now router.Time) {
+	if s.now = now; now-s.changed >= turn.FromDuration(ticketsFor) {
 		s.tickets, s.changed = [2]map[uint64]*pending{{}, s.tickets[0]}, now
 	}
 }
 
-// Flush sends the turn's answers; it may be called in a turn alone, at its end.
-func (s *Server) Flush() {
+// FlushTurn sends the turn's answers; it may be called in a turn alone, at its end.
+func (s *Server) FlushTurn() {
 	for i, c := range s.dirty {
 		c.dirty = false
 		c.flush()
--- a/internal/thrift/server_test.go
+++ b/internal/thrift/server_test.go
@@ -26,18 +26,18 @@
 	s *Server
 }
 
-// Begin begins a turn.
-func (m machine) Begin(now router.Time) { m.s.Begin(now); m.Engine.Begin(now) }
+// BeginTurn begins a turn.
+func (m machine) BeginTurn(now router.Time) { m.s.BeginTurn(now); m.Engine.BeginTurn(now) }
 
-// End ends a turn.
-func (m machine) End() { m.Engine.End(); m.s.Flush() }
+// EndTurn ends a turn.
+func (m machine) EndTurn() { m.Engine.EndTurn(); m.s.FlushTurn() }
 
 // serve runs a server without workers; over is closed once it takes no more connections.
-func serve(t *testing.T, b Bounds) (s *Server, l net.Listener, over chan bool) {
+func serve(t *testing.T, b Limits) (s *Server, l net.Listener, over chan bool) {
 	before := goleak.IgnoreCurrent()
 	loop := turn.NewLoop()
 	e := engine.New(engine.Options{Settings: router.Settings{}, Now: loop.Now(), Log: func(string) {}})
-	s = New(loop, front.NewDesk(e, front.Options{Apart: true}), Options{Bounds: b, Ready: func() bool { return true }, Log: zerolog.Nop()})
+	s = New(loop, front.New(e, front.Options{NoJoin: true}), Options{Limits: b, Ready: func() bool { return true }, Log: zerolog.Nop()})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -86,12 +86,12 @@
 
 // TestLast: connections that wait in the listener's backlog as it closes are taken, not reset.
 func TestLast(t *testing.T) {
-	s, l, over := serve(t, Bounds{Connections: 16})
+	s, l, over := serve(t, Limits{MaxConnections: 16})
 	var all []net.Conn
 	for range 8 { // nobody takes them yet
 		all = append(all, dial(t, l))
 	}
-	Last(l)
+	StopAccepting(l)
 	go func() { _ = s.Serve(l); close(over) }()
 	<-over
 	l.Close()
@@ -109,7 +109,7 @@
 // descriptors are held than allowed.
 func TestHeld(t *testing.T) {
 	const most = 4
-	s, l, over := serve(t, Bounds{Connections: most})
+	s, l, over := serve(t, Limits{MaxConnections: most})
 	go func() { _ = s.Serve(l); close(over) }()
 	var all []net.Conn
 	for range 5 * most {
@@ -130,14 +130,14 @@
 	if ended(all[len(all)-1]) {
 		t.Error("the latest one was not taken")
 	}
-	s.Renew(Bounds{Connections: 1})
+	s.UpdateSettings(Limits{MaxConnections: 1})
 	until(t, "with a lower bound all but one end", func() bool { return s.held.Load() == 1 })
 }
 
 // TestCloseIdle: what a connection is closed for is decided once. A message that has begun keeps it; once it is decided,
 // no message begins.
 func TestCloseIdle(t *testing.T) {
-	s, l, over := serve(t, Bounds{Connections: 4})
+	s, l, over := serve(t, Limits{MaxConnections: 4})
 	go func() { _ = s.Serve(l); close(over) }()
 	one := func() *conn {
 		nc := dial(t, l)
--- a/internal/turn/turn.go
+++ b/internal/turn/turn.go
@@ -21,11 +21,11 @@
 // epoch is where the loops' clocks begin: late enough that what started long before the process has a time above 0.
 const epoch = router.Time(1e10)
 
-// Span turns a duration into the module's units, cut to whole ones.
-func Span(d time.Duration) router.Time { return router.Time(d / Unit) }
+// FromDuration turns a duration into the module's units, cut to whole ones.
+func FromDuration(d time.Duration) router.Time { return router.Time(d / Unit) }
 
-// Duration is the inverse of Span.
-func Duration(t router.Time) time.Duration { return time.Duration(t) * Unit }
+// ToDuration is the inverse of Span.
+func ToDuration(t router.Time) time.Duration { return time.Duration(t) * Unit }
 
 // Timer is one thing to do at a time. The zero value is not set.
 type Timer struct {
@@ -60,8 +60,8 @@
 	}
 }
 
-// Due tells when the next timer is due.
-func (ts *Timers) Due() (router.Time, bool) {
+// NextDue tells when the next timer is due.
+func (ts *Timers) NextDue() (router.Time, bool) {
 	if len(ts.heap) == 0 {
 		return 0, false
 	}
@@ -101,11 +101,11 @@
 	return t
 }
 
-// Machine is what a loop drives. All of its methods are called from the loop's goroutine alone.
-type Machine interface {
-	Begin(now router.Time)    // a turn begins; the events that came follow
-	End()                     // they have all come; timers that are due come in here
-	Due() (router.Time, bool) // when the machine wants a turn though nothing comes
+// Handler is what a loop drives. All of its methods are called from the loop's goroutine alone.
+type Handler interface {
+	BeginTurn(now router.Time)    // a turn begins; the events that came follow
+	EndTurn()                     // they have all come; timers that are due come in here
+	NextDue() (router.Time, bool) // when the machine wants a turn though nothing comes
 }
 
 // Loop gives a machine its turns by the real clock.
@@ -121,12 +121,12 @@
 // NewLoop starts the loop's clock.
 func NewLoop() *Loop { return &Loop{start: time.Now(), wake: make(chan struct{}, 1)} }
 
-// Pace has turns begin so far apart at the least: under load each turn then brings more events, and what a turn costs
+// SetMinInterval has turns begin so far apart at the least: under load each turn then brings more events, and what a turn costs
 // by itself is paid less often. Any goroutine may call it.
-func (l *Loop) Pace(d time.Duration) { l.pace.Store(int64(d)) }
+func (l *Loop) SetMinInterval(d time.Duration) { l.pace.Store(int64(d)) }
 
 // Now reads the loop's clock; any goroutine may.
-func (l *Loop) Now() router.Time { return epoch + Span(time.Since(l.start)) }
+func (l *Loop) Now() router.Time { return epoch + FromDuration(time.Since(l.start)) }
 
 // Post has f done in the next turn, from any goroutine, without waiting. It reports false where the loop is over
 // and f will never be done.
@@ -149,7 +149,7 @@
 }
 
 // Run drives m until the context ends. What was posted before that is still done.
-func (l *Loop) Run(ctx context.Context, m Machine) {
+func (l *Loop) Run(ctx context.Context, m Handler) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	var spare []func()
@@ -165,19 +165,19 @@
 		over := ctx.Err() != nil
 		l.over = over
 		l.mu.Unlock()
-		m.Begin(l.Now())
+		m.BeginTurn(l.Now())
 		for i, f := range batch {
 			f()
 			batch[i] = nil
 		}
-		m.End()
+		m.EndTurn()
 		spare = batch
 		if over {
 			return
 		}
 		wait := time.Hour
-		if due, any := m.Due(); any {
-			wait = max(0, Duration(due-epoch)-time.Since(l.start))
+		if due, any := m.NextDue(); any {
+			wait = max(0, ToDuration(due-epoch)-time.Since(l.start))
 		}
 		timer.Reset(wait)
 		select {
--- a/router/evidence.go
+++ b/router/evidence.go
@@ -19,9 +19,9 @@
 // never is before anything that was heard.
 const never Time = math.MinInt64 / 2
 
-// ListConfirmed tells that the list was whole and true at a time: the one at which discovery was asked, when it has
+// ConfirmWorkerList tells that the list was whole and true at a time: the one at which discovery was asked, when it has
 // answered that nothing newer is known. An earlier time than before takes evidence back.
-func (r *Router) ListConfirmed(now, asOf Time) {
+func (r *Router) ConfirmWorkerList(now, asOf Time) {
 	r.now, r.dirty = now, true
 	lapsed := r.listLapsed()
 	r.listAsOf = asOf
@@ -48,14 +48,14 @@
 	}
 }
 
-// PauseMost is the longest pause of the process that what is known, and what was decided, outlasts: half the grace, so that
+// MaxPause is the longest pause of the process that what is known, and what was decided, outlasts: half the grace, so that
 // enough of it remains for what follows the pause. 0: the settings state no grace.
-func PauseMost(s Settings) Time { return s.span("rules.drain", 0) / 2 }
+func MaxPause(s Settings) Time { return s.span("rules.drain", 0) / 2 }
 
 // noticePause: the list holds since changes are heard of at once. While we stood still nothing was heard, and what was told
 // then counts as told: a list from before a pause is evidence of when the pause began. It is asked for anew.
 func (r *Router) noticePause() {
-	if r.listLasts == 0 || r.now-r.turn <= PauseMost(r.set) || r.wokeAt == r.now {
+	if r.listLasts == 0 || r.now-r.turn <= MaxPause(r.set) || r.wokeAt == r.now {
 		return
 	}
 	if r.listAsOf >= r.wokeAt { // else the list is older than a pause before this one
@@ -64,7 +64,7 @@
 	r.wokeAt = r.now
 	r.timeList()
 	r.port.Log(fmt.Sprintf("stood still for %d ms: the list is asked for anew", (r.now-r.turn)/ms))
-	r.port.Listen()
+	r.port.SubscribeWorkers()
 }
 
 // listLapsed: the list is too old to be evidence, each worker needs some of its own.
--- a/router/health.go
+++ b/router/health.go
@@ -10,7 +10,7 @@
 // judge learns from a call-out's end about the worker, the instance and the function.
 func (p *RPC) judge(c *callOut, o Outcome, warmth Warmth, crowd int, took Time) {
 	r, w, fn, in := p.r, c.w, p.fn, c.in
-	if o == OK || o == Errored || o == Missed || o == Full {
+	if o == OK || o == Errored || o == NotLoaded || o == Full {
 		w.heard = r.now
 	}
 	switch o {
@@ -24,7 +24,7 @@
 		if now := w.holds[fn.id]; now == nil || now.asked {
 			w.holds[fn.id] = in
 		}
-		cold := warmth == BeganLoad || warmth == JoinedLoad || warmth == Untold && c.cold &&
+		cold := warmth == StartedLoad || warmth == JoinedLoad || warmth == WarmthUnknown && c.cold &&
 			float64(took) > p.work()+fn.load/2
 		r.loaded(fn, in, cold, cold && warmth != JoinedLoad, max(float64(took)-p.work(), 0))
 		in.executed++
@@ -44,8 +44,8 @@
 		} else if w.ill == "" && w.slow > slowIll*r.slow {
 			w.markUnhealthy(r, "slowness", w.slow)
 		}
-	case Errored, Missed:
-		if warmth == LoadFailed || o == Missed {
+	case Errored, NotLoaded:
+		if warmth == LoadFailed || o == NotLoaded {
 			if in.loading && w.holds[fn.id] == in { // RPCs that joined the load tell of one failure, not of many
 				r.loadFailed(fn)
 			}
@@ -71,7 +71,7 @@
 	case ConnectFailed:
 		w.restart(r.now)
 		w.markUnhealthy(r, "no connection", float64(w.active))
-	case TimedOut, CalledOff, Moot:
+	case TimedOut, Cancelled, NotSent:
 		if !c.cold && !c.retracted && o == TimedOut {
 			r.learnFleetFactor(false)
 		}
@@ -115,8 +115,8 @@
 	w.illUntil = r.now + w.illBack
 }
 
-// Checked answers a check: one that passed lets an RPC try the worker.
-func (r *Router) Checked(now Time, id WorkerID, o Outcome, took Time, report []float64) {
+// CheckEnded answers a check: one that passed lets an RPC try the worker.
+func (r *Router) CheckEnded(now Time, id WorkerID, o Outcome, took Time, report []float64) {
 	r.now, r.dirty = now, true
 	w := r.record(id)
 	w.checking = false
@@ -178,7 +178,7 @@
 		if r.set.is("may.retract") && !p.ended && p.m.effect != SideEffecting && r.now < p.leaveAt() &&
 			!p.spent() && r.now+Time(p.work()) < p.late {
 			c.retracted = true
-			r.port.Retract(p.id, len(p.calls)-1)
+			r.port.CancelCallOut(p.id, len(p.calls)-1)
 		}
 	}
 }
--- a/router/loads.go
+++ b/router/loads.go
@@ -41,7 +41,7 @@
 func (p *RPC) order(w *worker) {
 	p.begin(w).ordered = true
 	p.r.orders = append(p.r.orders, p.r.now)
-	p.r.port.Hold(w.id, p.fn.id, 1, p.r.sendBy(w))
+	p.r.port.OrderLoad(w.id, p.fn.id, 1, p.r.sendBy(w))
 }
 
 // begin notes a load under way.
@@ -92,7 +92,7 @@
 		fn.askNext = r.now + askLasts
 		for _, w := range homes[:min(askHomes, len(homes))] {
 			w.holds[fn.id] = &instance{asked: true, lastUse: r.now}
-			r.port.Hold(w.id, fn.id, 0, forever)
+			r.port.OrderLoad(w.id, fn.id, 0, forever)
 		}
 		return p.keep(Asking)
 	}
@@ -164,8 +164,8 @@
 	r.load += (min(took, 3*r.load) - r.load) / 16
 }
 
-// Halted tells whether loads of the function are halted and no copy of it is believed to stand.
-func (r *Router) Halted(id FunctionID) bool {
+// LoadsHalted tells whether loads of the function are halted and no copy of it is believed to stand.
+func (r *Router) LoadsHalted(id FunctionID) bool {
 	fn := r.fns[id]
 	return fn != nil && fn.errors >= loadErrors && !slices.ContainsFunc(r.list, func(w *worker) bool {
 		in := w.holds[id]
@@ -188,8 +188,8 @@
 	fn.backoff = min(2*fn.backoff, loadBackMax)
 }
 
-// Held answers a load order.
-func (r *Router) Held(now Time, id WorkerID, fid FunctionID, o Outcome, copies int, took Time) {
+// LoadOrderEnded answers a load order.
+func (r *Router) LoadOrderEnded(now Time, id WorkerID, fid FunctionID, o Outcome, copies int, took Time) {
 	r.now, r.dirty = now, true
 	r.noticePause()
 	w, fn := r.record(id), r.fns[fid]
@@ -208,7 +208,7 @@
 	case copies == 0 && !in.ordered: // a late answer to a question
 	case o == Reset && !in.lost(fn, now) && w.state == Ready && r.confirmed(w) && r.orderRationAllows():
 		r.orders = append(r.orders, now) // the order stands, but nobody would tell of its end
-		r.port.Hold(id, fid, 1, r.sendBy(w))
+		r.port.OrderLoad(id, fid, 1, r.sendBy(w))
 	case o == OK || copies > 0:
 		in.copies, in.lastUse, in.ordered = max(copies, 1), now, false
 		w.heard = now
