--- a/router/membership.go
+++ b/router/membership.go
@@ -9,12 +9,12 @@
 // This file decides the list of workers, and settings that change.
 
 // takeSettings takes methods and customers over, and keeps what was learned of those known before.
-func (r *Router) takeSettings(p Prepared) {
+func (r *Router) takeSettings(p ParsedSettings) {
 	r.set, r.zone = p.set, ZoneID(p.set.num("zone", 0))
 	for i, was := range r.methods {
 		m := p.methods[i]
 		m.work, m.cost, m.most = was.work, was.cost, was.most
-		was.effect, was.group, was.window = Stricter(was.effect, was.group, was.window, m.effect, m.group, m.window)
+		was.effect, was.group, was.window = StricterEffect(was.effect, was.group, was.window, m.effect, m.group, m.window)
 	}
 	r.methods = p.methods
 	r.timeList()
@@ -26,9 +26,9 @@
 	}
 }
 
-// Stricter is what binds an RPC that was taken before its method's settings changed: nothing is promised to
+// StricterEffect is what binds an RPC that was taken before its method's settings changed: nothing is promised to
 // it that either does not promise. Where the effect became graver it may lack the token: it never runs twice.
-func Stricter(effect, group string, window Time, effect2, group2 string, window2 Time) (_, _ string, _ Time) {
+func StricterEffect(effect, group string, window Time, effect2, group2 string, window2 Time) (_, _ string, _ Time) {
 	effects, groups := []string{Idempotent, Tokened, SideEffecting}, []string{"all", "zone", "cell"}
 	if slices.Index(effects, effect2) > slices.Index(effects, effect) {
 		return SideEffecting, "", 0
@@ -39,9 +39,9 @@
 	return effect, group, window
 }
 
-// Renew takes new settings between two turns. Methods, customers, zones and kinds keep their places, new ones
+// UpdateSettings takes new settings between two turns. Methods, customers, zones and kinds keep their places, new ones
 // follow. What was learned stays; where a rule looks further back now, what is forgotten counts as used up.
-func (r *Router) Renew(now Time, p Prepared) {
+func (r *Router) UpdateSettings(now Time, p ParsedSettings) {
 	s := p.set
 	r.now, r.dirty = now, true
 	orders, fall := r.set.span("functions.load-window", 0), r.set.span("rules.fall", sec)
@@ -87,19 +87,19 @@
 	}
 }
 
-// ListBegins, Listed and ListEnds bring the list of workers, or its changes.
-func (r *Router) ListBegins(now Time, form ListForm, _ uint64) {
+// BeginWorkerList, Listed and ListEnds bring the list of workers, or its changes.
+func (r *Router) BeginWorkerList(now Time, form ListUpdate, _ uint64) {
 	r.now, r.dirty = now, true
-	if form == Failed {
-		r.port.Remind(sec, listenAgain)
+	if form == ListFailed {
+		r.port.SetTimer(sec, listenAgain)
 	}
 	for _, w := range r.list {
-		w.listed = form == Changes || form == Failed
+		w.listed = form == ListChanges || form == ListFailed
 	}
 }
 
-// Listed is one entry of the list.
-func (r *Router) Listed(now Time, id WorkerID, state Readiness, started Time, zone ZoneID, cell CellID,
+// AddListedWorker is one entry of the list.
+func (r *Router) AddListedWorker(now Time, id WorkerID, state Readiness, started Time, zone ZoneID, cell CellID,
 	kind KindID, _ float64) {
 	w := r.workers[id]
 	if w == nil {
@@ -122,8 +122,8 @@
 	}
 }
 
-// ListEnds closes the list: what a whole list leaves out is gone.
-func (r *Router) ListEnds(now Time) {
+// EndWorkerList closes the list: what a whole list leaves out is gone.
+func (r *Router) EndWorkerList(now Time) {
 	for _, w := range r.list {
 		if !w.listed {
 			w.become(Gone)
--- a/router/placement.go
+++ b/router/placement.go
@@ -209,7 +209,7 @@
 	}
 	// a way back: one RPC that may be repeated tries a worker whose pause is over
 	if w.ill != "" && !r.allIll && (!w.trial || w.active > 0 || p.m.effect == SideEffecting) {
-		return IllWorkers
+		return UnhealthyWorkers
 	}
 	for _, c := range p.calls {
 		if c.w == w && !c.broke && r.now-c.at < sec {
--- a/router/port.go
+++ b/router/port.go
@@ -27,24 +27,24 @@
 	TimedOut                     // no answer in time; it may have run
 	ConnectFailed                // no connection; it never ran
 	Reset                        // the connection broke; it may have run
-	CalledOff                    // retracted; it may have run
-	Moot                         // never sent
-	Missed                       // not loaded there, or its load failed; it never ran
+	Cancelled                    // retracted; it may have run
+	NotSent                      // never sent
+	NotLoaded                    // not loaded there, or its load failed; it never ran
 )
 
 // Warmth is what an answer tells of the copy that ran the RPC.
 type Warmth uint8
 
 const (
-	Untold     Warmth = iota
-	StoodWarm         // a copy stood loaded
-	BeganLoad         // this RPC began a load
-	JoinedLoad        // it waited for a load begun before
-	LoadFailed        // the load failed
+	WarmthUnknown Warmth = iota
+	AlreadyWarm          // a copy stood loaded
+	StartedLoad          // this RPC began a load
+	JoinedLoad           // it waited for a load begun before
+	LoadFailed           // the load failed
 )
 
 var outcomeNames = [...]string{OK: "ok", Errored: "error", Full: "full", TimedOut: "time-out", ConnectFailed: "no connection",
-	Reset: "broken connection", CalledOff: "called off", Moot: "not sent", Missed: "not loaded"}
+	Reset: "broken connection", Cancelled: "called off", NotSent: "not sent", NotLoaded: "not loaded"}
 
 // String is the outcome's name in logs.
 func (o Outcome) String() string { return outcomeNames[o] }
@@ -58,38 +58,38 @@
 	Draining
 )
 
-// ListForm is how the entries that follow relate to the list the front end has.
-type ListForm uint8
+// ListUpdate is how the entries that follow relate to the list the front end has.
+type ListUpdate uint8
 
 const (
-	Changes ListForm = iota
-	Whole
-	Cached
-	Failed
+	ListChanges ListUpdate = iota
+	ListComplete
+	ListCached
+	ListFailed
 )
 
 // Reason is the bound that last kept an RPC from going out, told when it is given up on.
 type Reason uint8
 
 const (
-	NoTime        Reason = iota // none: too little time was left, or its attempts are over
-	FleetShare                  // our share of RPCs out in the whole fleet
-	FunctionOrder               // an RPC of its function before it found no place
-	Attempts                    // the attempts that the settings allow
-	Lanes                       // all copies' lanes are taken, or only loads are under way
-	Asking                      // a worker is asked whether it has a copy
-	LoadTime                    // a load would take longer than its client waits
-	FunctionCap                 // the cap of the function's copies
-	FleetCap                    // the cap of all copies
-	LoadBackoff                 // loads of the function failed or timed out
-	LoadPace                    // our share of loads
-	ColdWorkers                 // most workers: what a cold one may be sent
-	IllWorkers                  // most workers: ill
-	Repeats                     // most workers: it may have run, or was there a moment ago
-	WorkerShare                 // most workers: full, or with our share of RPCs
-	BusyWorkers                 // most workers: more work or memory in use than others
-	Unconfirmed                 // most workers, or the one that it would go to: nothing proves that they do not drain
-	NotReady                    // most workers: not ready, or there are none
+	NoTime           Reason = iota // none: too little time was left, or its attempts are over
+	FleetShare                     // our share of RPCs out in the whole fleet
+	FunctionOrder                  // an RPC of its function before it found no place
+	Attempts                       // the attempts that the settings allow
+	Lanes                          // all copies' lanes are taken, or only loads are under way
+	Asking                         // a worker is asked whether it has a copy
+	LoadTime                       // a load would take longer than its client waits
+	FunctionCap                    // the cap of the function's copies
+	FleetCap                       // the cap of all copies
+	LoadBackoff                    // loads of the function failed or timed out
+	LoadPace                       // our share of loads
+	ColdWorkers                    // most workers: what a cold one may be sent
+	UnhealthyWorkers               // most workers: ill
+	Repeats                        // most workers: it may have run, or was there a moment ago
+	WorkerShare                    // most workers: full, or with our share of RPCs
+	BusyWorkers                    // most workers: more work or memory in use than others
+	Unconfirmed                    // most workers, or the one that it would go to: nothing proves that they do not drain
+	NotReady                       // most workers: not ready, or there are none
 	reasonCount
 )
 
@@ -111,17 +111,17 @@
 // and words. Times are in tenths of a millisecond, lists tell their length under the bare name.
 type Settings map[string]any
 
-// Port is what the module acts through.
-type Port interface {
+// Actions is what the module acts through.
+type Actions interface {
 	Send(rpc RPCID, w WorkerID, limit, by Time) // a new call-out; limit 0: until the client's time is up; by: see Hold
 	Deny(rpc RPCID, comeBack Time, why Reason)  // final answer: a retry is harmless
 	Abort(rpc RPCID, why Reason)                // final answer: promises nothing
-	Retract(rpc RPCID, n int)                   // call off the RPC's n-th call-out
-	Remind(after Time, token uint64)            // ask for Router.Reminded
+	CancelCallOut(rpc RPCID, n int)             // call off the RPC's n-th call-out
+	SetTimer(after Time, token uint64)          // ask for Router.Reminded
 	Check(w WorkerID)                           // probe a worker
-	// Hold orders at least n copies held; 0 only asks. By is the last moment at which its first byte may go out: later it
+	// OrderLoad orders at least n copies held; 0 only asks. By is the last moment at which its first byte may go out: later it
 	// ends as Moot.
-	Hold(w WorkerID, fn FunctionID, n int, by Time)
-	Listen()         // ask for changes of the list from now on
-	Log(text string) // one line for those on call
+	OrderLoad(w WorkerID, fn FunctionID, n int, by Time)
+	SubscribeWorkers() // ask for changes of the list from now on
+	Log(text string)   // one line for those on call
 }
--- a/router/queue.go
+++ b/router/queue.go
@@ -78,8 +78,8 @@
 	return p.gain
 }
 
-// Settle sends what the moment's events made room for: higher gain first, then first come.
-func (r *Router) Settle(now Time) {
+// Dispatch sends what the moment's events made room for: higher gain first, then first come.
+func (r *Router) Dispatch(now Time) {
 	if r.now = now; !r.dirty {
 		return
 	}
--- a/router/retries.go
+++ b/router/retries.go
@@ -39,18 +39,18 @@
 	r.port.Send(p.id, w.id, 0, r.sendBy(w))
 }
 
-// Left tells that the client is gone: no answer is owed.
-func (p *RPC) Left(now Time) {
+// ClientLeft tells that the client is gone: no answer is owed.
+func (p *RPC) ClientLeft(now Time) {
 	p.r.now, p.r.dirty = now, true
 	p.unhold()
 	p.ended = true
 }
 
-// Over tells that nothing more can happen to the RPC.
-func (p *RPC) Over() bool { return p.ended && p.out == 0 }
+// Finished tells that nothing more can happen to the RPC.
+func (p *RPC) Finished() bool { return p.ended && p.out == 0 }
 
-// Ended tells how a call-out ended. Closed: no answer is owed; crowd: RPCs of its function that it met there.
-func (p *RPC) Ended(now Time, n int, _ WorkerID, o Outcome, closed bool, warmth Warmth, crowd int, took Time,
+// CallOutEnded tells how a call-out ended. Closed: no answer is owed; crowd: RPCs of its function that it met there.
+func (p *RPC) CallOutEnded(now Time, n int, _ WorkerID, o Outcome, closed bool, warmth Warmth, crowd int, took Time,
 	report []float64) {
 	r := p.r
 	r.now, r.dirty = now, true
@@ -67,7 +67,7 @@
 	}
 	c.w.report(r, report)
 	p.judge(c, o, warmth, crowd, took)
-	if o == OK || o == Errored || o == TimedOut || o == Reset || o == CalledOff {
+	if o == OK || o == Errored || o == TimedOut || o == Reset || o == Cancelled {
 		p.mayHave = true
 	} else if !p.mayHave && p.out == 0 {
 		p.risk = nil
--- a/router/router.go
+++ b/router/router.go
@@ -71,7 +71,7 @@
 
 // Router is the decision module of one front end.
 type Router struct {
-	port                 Port
+	port                 Actions
 	rng                  *rand.Rand
 	now, born, turn      Time // turn: when we last settled
 	set                  Settings
@@ -103,19 +103,19 @@
 }
 
 // New starts the module of one front end.
-func New(port Port, now Time, seed int64, s Settings) *Router {
+func New(port Actions, now Time, seed int64, s Settings) *Router {
 	r := &Router{port: port, now: now, rng: rand.New(rand.NewSource(seed)), workers: map[WorkerID]*worker{},
 		fns: map[FunctionID]*function{}, warmWork: map[KindID]float64{}, born: now,
 		turn: now, slow: 1, realShare: 0.5, fleetFactor: factorMost / 2., listAsOf: never, wokeAt: never}
-	r.takeSettings(Prepare(s))
-	if port.Remind(beat, 0); s.word("list") == "asked" {
-		port.Listen()
+	r.takeSettings(ParseSettings(s))
+	if port.SetTimer(beat, 0); s.word("list") == "asked" {
+		port.SubscribeWorkers()
 	}
 	return r
 }
 
-// Take takes an RPC and returns its handle. Cost is the hint's core time, 0 where there is none.
-func (r *Router) Take(now Time, id RPCID, m MethodID, c CustomerID, fid FunctionID, budget Time, cost,
+// Submit takes an RPC and returns its handle. Cost is the hint's core time, 0 where there is none.
+func (r *Router) Submit(now Time, id RPCID, m MethodID, c CustomerID, fid FunctionID, budget Time, cost,
 	memory float64, lanes int, load Time, repeat bool) *RPC {
 	r.now, r.dirty = now, true
 	fn := r.fns[fid]
@@ -166,14 +166,14 @@
 
 func (fn *function) recent(now Time) float64 { return fn.need * fade(now-fn.needAt, needFade) }
 
-// Reminded is the heartbeat; its work is done when all that came with it is known.
-func (r *Router) Reminded(now Time, token uint64) {
+// TimerFired is the heartbeat; its work is done when all that came with it is known.
+func (r *Router) TimerFired(now Time, token uint64) {
 	r.now, r.dirty = now, true
 	if token == listenAgain {
-		r.port.Listen()
+		r.port.SubscribeWorkers()
 		return
 	}
-	r.port.Remind(beat, 0)
+	r.port.SetTimer(beat, 0)
 	r.beats = true
 }
 
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -80,9 +80,9 @@
 	s.act("abort %s", s.names[p])
 	s.reason = why
 }
-func (s *stage) Retract(p RPCID, n int) { s.act("retract %s %d", s.names[p], n) }
-func (s *stage) Check(w WorkerID)       { s.act("check %d", w) }
-func (s *stage) Hold(w WorkerID, f FunctionID, n int, by Time) {
+func (s *stage) CancelCallOut(p RPCID, n int) { s.act("retract %s %d", s.names[p], n) }
+func (s *stage) Check(w WorkerID)             { s.act("check %d", w) }
+func (s *stage) OrderLoad(w WorkerID, f FunctionID, n int, by Time) {
 	s.act("hold %d %d %d%s", w, f, n, beginBy(by))
 }
 
@@ -94,9 +94,9 @@
 	return fmt.Sprintf(" by=%d", by/ms)
 }
 
-func (s *stage) Listen()         { s.act("listen") }
-func (s *stage) Log(text string) { s.logs = append(s.logs, text) }
-func (s *stage) Remind(after Time, token uint64) {
+func (s *stage) SubscribeWorkers() { s.act("listen") }
+func (s *stage) Log(text string)   { s.logs = append(s.logs, text) }
+func (s *stage) SetTimer(after Time, token uint64) {
 	s.timers = append(s.timers, timer{s.now + after, token})
 }
 
@@ -128,7 +128,7 @@
 			t.Fatalf("line %d, %q: %v", i+2, line, err)
 		}
 		if f[0] != "set" && f[0] != "want" && f[0] != "log" && f[0] != "reason" && f[0] != "pause" {
-			s.router.Settle(s.now)
+			s.router.Dispatch(s.now)
 		}
 	}
 	if len(s.did) > 0 {
@@ -138,11 +138,11 @@
 
 var (
 	outcomeWords = map[string]Outcome{"ok": OK, "error": Errored, "full": Full, "timeout": TimedOut,
-		"connect": ConnectFailed, "reset": Reset, "calledoff": CalledOff, "moot": Moot, "missed": Missed}
-	warmthWords = map[string]Warmth{"": Untold, "stood": StoodWarm, "began": BeganLoad, "joined": JoinedLoad,
+		"connect": ConnectFailed, "reset": Reset, "calledoff": Cancelled, "moot": NotSent, "missed": NotLoaded}
+	warmthWords = map[string]Warmth{"": WarmthUnknown, "stood": AlreadyWarm, "began": StartedLoad, "joined": JoinedLoad,
 		"failed": LoadFailed}
 	stateWords = map[string]Readiness{"gone": Gone, "ready": Ready, "draining": Draining}
-	formWords  = map[string]ListForm{"changes": Changes, "whole": Whole, "cached": Cached, "failed": Failed}
+	formWords  = map[string]ListUpdate{"changes": ListChanges, "whole": ListComplete, "cached": ListCached, "failed": ListFailed}
 )
 
 func (s *stage) step(f []string, line string) error {
@@ -167,7 +167,7 @@
 	}
 	switch f[0] {
 	case "renew": // the settings as they are now, with those set since
-		s.router.Renew(s.now, Prepare(maps.Clone(s.set)))
+		s.router.UpdateSettings(s.now, ParseSettings(maps.Clone(s.set)))
 	case "set":
 		switch v, err := strconv.ParseFloat(f[2], 64); {
 		case f[2] == "yes" || f[2] == "no":
@@ -178,20 +178,20 @@
 			s.set[f[1]] = f[2]
 		}
 	case "list":
-		s.router.ListBegins(s.now, formWords[f[1]], 1)
+		s.router.BeginWorkerList(s.now, formWords[f[1]], 1)
 		for _, text := range f[2:] {
 			w := strings.Split(text, ":")
 			w = append(w, []string{"ready", "0", "0", "0"}[len(w)-1:]...)
-			s.router.Listed(s.now, worker(w[0]), stateWords[w[1]], Time(number(s.t, w[2]))*ms,
+			s.router.AddListedWorker(s.now, worker(w[0]), stateWords[w[1]], Time(number(s.t, w[2]))*ms,
 				ZoneID(number(s.t, w[3])), CellID(number(s.t, w[4])), 0, 1)
 		}
-		s.router.ListEnds(s.now)
+		s.router.EndWorkerList(s.now)
 	case "at":
 		s.goTo(Time(number(s.t, f[1])) * ms)
 	case "pause":
 		s.now += Time(number(s.t, f[1])) * ms
 		for _, tm := range s.timers {
-			s.router.Reminded(s.now, tm.token)
+			s.router.TimerFired(s.now, tm.token)
 		}
 		s.timers = nil
 	case "take":
@@ -201,7 +201,7 @@
 				name += strconv.Itoa(i + 1)
 			}
 			s.names[id] = name
-			s.rpcs[name] = s.router.Take(s.now, id, MethodID(get("m", 0)), CustomerID(get("customer", 0)),
+			s.rpcs[name] = s.router.Submit(s.now, id, MethodID(get("m", 0)), CustomerID(get("customer", 0)),
 				FunctionID(get("fn", 1)), span("budget", 3000), float64(span("cost", 0)), get("mem", 100),
 				int(get("lanes", 1)), span("load", 500), get("repeat", 0) > 0)
 		}
@@ -211,21 +211,21 @@
 		if options["util"] != "" {
 			report = []float64{get("util", 0)}
 		}
-		s.rpcs[f[1]].Ended(s.now, int(number(s.t, f[2])), 0, outcomeWords[f[3]], closed,
+		s.rpcs[f[1]].CallOutEnded(s.now, int(number(s.t, f[2])), 0, outcomeWords[f[3]], closed,
 			warmthWords[options["warm"]], int(get("crowd", 0)), span("took", 50), report)
 	case "left":
-		s.rpcs[f[1]].Left(s.now)
+		s.rpcs[f[1]].ClientLeft(s.now)
 	case "held":
-		s.router.Held(s.now, worker(f[1]), FunctionID(number(s.t, f[2])), outcomeWords[f[3]],
+		s.router.LoadOrderEnded(s.now, worker(f[1]), FunctionID(number(s.t, f[2])), outcomeWords[f[3]],
 			int(number(s.t, f[4])), span("took", 500))
 	case "checked":
 		var report []float64
 		if options["util"] != "" {
 			report = []float64{get("util", 0)}
 		}
-		s.router.Checked(s.now, worker(f[1]), outcomeWords[f[2]], span("took", 1), report)
+		s.router.CheckEnded(s.now, worker(f[1]), outcomeWords[f[2]], span("took", 1), report)
 	case "confirmed":
-		s.router.ListConfirmed(s.now, Time(number(s.t, f[1]))*ms)
+		s.router.ConfirmWorkerList(s.now, Time(number(s.t, f[1]))*ms)
 	case "want":
 		return s.want(f[1:])
 	case "log":
@@ -261,8 +261,8 @@
 		tm := s.timers[next]
 		s.timers = append(s.timers[:next], s.timers[next+1:]...)
 		s.now = max(s.now, tm.due)
-		s.router.Reminded(s.now, tm.token)
-		s.router.Settle(s.now)
+		s.router.TimerFired(s.now, tm.token)
+		s.router.Dispatch(s.now)
 	}
 }
 
@@ -298,23 +298,23 @@
 		"methods.0.soft-deadline": 1e4, "methods.0.deadline": 1e8, "methods.0.effect": Idempotent, "functions.keep-alive": 1e5})
 	to := func(then Time) {
 		for ; now < then; now += beat {
-			r.Reminded(now, 0)
-			r.Settle(now)
+			r.TimerFired(now, 0)
+			r.Dispatch(now)
 		}
 	}
 	list := func(state Readiness, workers ...WorkerID) {
-		r.ListBegins(now, Changes, 1)
+		r.BeginWorkerList(now, ListChanges, 1)
 		for _, w := range workers {
-			r.Listed(now, w, state, 0, 0, 0, 0, 1)
+			r.AddListedWorker(now, w, state, 0, 0, 0, 0, 1)
 		}
-		r.ListEnds(now)
+		r.EndWorkerList(now)
 	}
 	list(Ready, 1, 2)
 	open := map[FunctionID]*RPC{}
 	for fn := FunctionID(1); fn <= 9; fn++ {
 		s.names[RPCID(fn)] = fmt.Sprint(fn)
-		open[fn] = r.Take(now, RPCID(fn), 0, 0, fn, 1e8, 0, 100, 2, 0, false)
-		r.Settle(now)
+		open[fn] = r.Submit(now, RPCID(fn), 0, 0, fn, 1e8, 0, 100, 2, 0, false)
+		r.Dispatch(now)
 		to(now + sec)
 	}
 	if len(r.fns) != 9 || r.seen != 900 || len(s.did) == 0 {
@@ -322,9 +322,9 @@
 	}
 	for fn, p := range open {
 		if fn != 9 {
-			p.Left(now)
+			p.ClientLeft(now)
 			for n := range p.calls {
-				p.Ended(now, n, p.calls[n].w.id, OK, true, BeganLoad, 0, sec, nil)
+				p.CallOutEnded(now, n, p.calls[n].w.id, OK, true, StartedLoad, 0, sec, nil)
 			}
 		}
 	}
@@ -340,10 +340,10 @@
 	if len(r.workers) != 1 || len(r.list) != 1 || r.workers[1] == nil {
 		t.Errorf("%d workers, %d in the list", len(r.workers), len(r.list))
 	}
-	r.Held(now, 2, 5, OK, 1, sec) // answers that come very late
-	r.Checked(now, 2, Errored, sec, []float64{1})
+	r.LoadOrderEnded(now, 2, 5, OK, 1, sec) // answers that come very late
+	r.CheckEnded(now, 2, Errored, sec, []float64{1})
 	list(Ready, 2)
-	r.Settle(now)
+	r.Dispatch(now)
 	if len(r.workers) != 2 || len(r.workers[2].holds) > 0 {
 		t.Error("worker 2 is not back as new")
 	}
@@ -358,26 +358,26 @@
 		s := &stage{t: t, rpcs: map[string]*RPC{}, names: map[RPCID]string{}, bound: map[string]string{},
 			set: Settings{"methods": 1.0, "methods.0.effect": Idempotent, "may.call-outs": 1.0, "front-ends": 2.0, "me": float64(me)}}
 		r := New(s, 0, 2, s.set)
-		r.ListBegins(0, Whole, 1)
+		r.BeginWorkerList(0, ListComplete, 1)
 		for id := range WorkerID(workers) {
-			r.Listed(0, id+1, Ready, 0, 0, 0, 0, 0)
+			r.AddListedWorker(0, id+1, Ready, 0, 0, 0, 0, 0)
 		}
-		r.ListEnds(0)
+		r.EndWorkerList(0)
 		for id := range RPCID(seen) {
 			s.did = nil
 			fn := FunctionID(1000*me + int(id))
 			if id == seen-1 {
 				fn = 7
 			}
-			p := r.Take(0, id, 0, 0, fn, 30*sec, 0, 100, 4, 0, false)
-			r.Settle(0)
+			p := r.Submit(0, id, 0, 0, fn, 30*sec, 0, 100, 4, 0, false)
+			r.Dispatch(0)
 			if len(s.did) != 1 || len(p.calls) != 1 {
 				t.Fatalf("front end %d, RPC %d: did %q", me, id, s.did)
 			}
 			if fn == 7 {
 				homes[p.calls[0].w.id] = true
 			}
-			p.Ended(0, 0, p.calls[0].w.id, OK, true, StoodWarm, 0, 50*ms, nil)
+			p.CallOutEnded(0, 0, p.calls[0].w.id, OK, true, AlreadyWarm, 0, 50*ms, nil)
 		}
 	}
 	if len(homes) > most {
--- a/router/settings.go
+++ b/router/settings.go
@@ -21,15 +21,15 @@
 
 func (r *Router) frontEnds() float64 { return max(1, r.set.num("front-ends", 1)) }
 
-// Prepared is settings as the module reads them; that needs no turn.
-type Prepared struct {
+// ParsedSettings is settings as the module reads them; that needs no turn.
+type ParsedSettings struct {
 	set     Settings
 	methods []*method
 	quotas  []float64 // of customers: this front end's parts, per unit of time
 }
 
-// Prepare reads settings for New or Renew.
-func Prepare(s Settings) (p Prepared) {
+// ParseSettings reads settings for New or Renew.
+func ParseSettings(s Settings) (p ParsedSettings) {
 	p.set = s
 	for i := range int(s.num("methods", 0)) {
 		at := "methods." + strconv.Itoa(i) + "."
--- a/router/view.go
+++ b/router/view.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// View tells in one line what the module believes, for a debug log that is held against what the sockets carried: the
+// Describe tells in one line what the module believes, for a debug log that is held against what the sockets carried: the
 // queue and the bounds, then each worker that is ready with RPCs out there, copies, those of them that load, C where it
 // is cold, U where nothing proves that it does not drain, and the symptom where it is ill. It decides nothing.
-func (r *Router) View() string {
+func (r *Router) Describe() string {
 	s := fmt.Sprintf("held %d out %d fleet-factor %.2f load-limit %.1f tokens %.1f pending %d total %d of %.0f loads-real %.2f;",
 		len(r.held), len(r.out), r.fleetFactor, r.loadLimit, r.tokens, r.pending, r.total, r.totalCap, r.realShare)
 	for _, w := range r.list {
