--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -5,11 +5,11 @@
 	"fmt"
 	"os"
 
-	"mallowlanding/internal/pebble"
+	"mallowlanding/internal/simadapter"
 )
 
 func main() {
-	if err := pebble.Serve(os.Stdin, os.Stdout); err != nil {
+	if err := simadapter.Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "adapter:", err)
 		os.Exit(1)
 	}
--- a/cmd/mallowlanding/config.go
+++ b/cmd/mallowlanding/config.go
@@ -11,10 +11,10 @@
 
 	"github.com/jedib0t/go-pretty/v6/table"
 
+	"mallowlanding/internal/configdiff"
 	"mallowlanding/internal/control"
 	"mallowlanding/internal/control/wire"
 	"mallowlanding/internal/gateway"
-	"mallowlanding/internal/resources"
 	"mallowlanding/internal/settings"
 )
 
@@ -126,7 +126,7 @@
 	if err != nil {
 		return misuse{err}
 	}
-	_, to, err := resources.Canonical(c.File, string(text))
+	_, to, err := configdiff.Canonical(c.File, string(text))
 	if err != nil {
 		return misuse{err}
 	}
@@ -139,11 +139,11 @@
 	if err != nil {
 		return err
 	}
-	_, from, err := resources.Canonical(fmt.Sprintf("version %d", got.Version), got.Text)
+	_, from, err := configdiff.Canonical(fmt.Sprintf("version %d", got.Version), got.Text)
 	if err != nil {
 		return err
 	}
-	lines := resources.FormatDiff(from, to)
+	lines := configdiff.FormatDiff(from, to)
 	for _, line := range lines {
 		fmt.Fprintln(e.out, line)
 	}
--- a/cmd/mallowlanding/emulate.go
+++ b/cmd/mallowlanding/emulate.go
@@ -6,11 +6,11 @@
 	"fmt"
 	"os"
 
-	"mallowlanding/internal/day"
 	"mallowlanding/internal/emulate"
 	"mallowlanding/internal/experiment"
-	"mallowlanding/internal/hunt"
 	"mallowlanding/internal/rehearse"
+	"mallowlanding/internal/scenario"
+	"mallowlanding/internal/scenariosearch"
 	"mallowlanding/internal/settings"
 )
 
@@ -51,7 +51,7 @@
 	if err != nil {
 		return err
 	}
-	var sockets []*day.Outcome
+	var sockets []*scenario.Outcome
 	for range max(c.Against, 2) {
 		o, err := rehearse.Play(e.ctx, s, exe, "", e.log)
 		if err != nil {
@@ -158,7 +158,7 @@
 	if err != nil {
 		return misuse{err}
 	}
-	f, err := hunt.Run(e.ctx, s, c.Seed, c.Tries, func(text string) { e.log.Info().Msg(text) })
+	f, err := scenariosearch.Run(e.ctx, s, c.Seed, c.Tries, func(text string) { e.log.Info().Msg(text) })
 	if err != nil {
 		return err
 	}
--- a/internal/limits/limits.go
+++ b/internal/admission/limits.go
@@ -1,11 +1,11 @@
-// Package limits bounds what clients may have open and in flight, for a connection, for a peer and for the whole
+// Package admission bounds what clients may have open and in flight, for a connection, for a peer and for the whole
 // front end, and gives connections fair turns, so that one that floods does not starve one with a single RPC. No I/O,
 // no clock; the same events, the same decisions.
 //
 // An RPC arrives with a Ticket. It waits at the gate until its connection's turn: Next hands out tickets one
 // connection after the other, within a connection by gain, then first come. What the module holds for a connection is
 // bounded (Settings.Held), since it serves its own queue by gain and age, and knows of no connections.
-package limits
+package admission
 
 import (
 	"cmp"
--- a/internal/limits/limits_test.go
+++ b/internal/admission/limits_test.go
@@ -1,4 +1,4 @@
-package limits
+package admission
 
 import (
 	"fmt"
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -9,8 +9,8 @@
 	"math/rand"
 	"slices"
 
-	"mallowlanding/internal/core"
-	"mallowlanding/internal/terms"
+	"mallowlanding/internal/routing"
+	"mallowlanding/internal/settingkeys"
 	"mallowlanding/router"
 )
 
@@ -28,14 +28,14 @@
 const retry = 20 * 10
 
 // Factory makes the maker of a policy; an empty name gives nil, which stands for the module.
-func Factory(name string, truth ActualState) (core.Factory, error) {
+func Factory(name string, truth ActualState) (routing.Factory, error) {
 	if name == "" || name == "module" {
 		return nil, nil
 	}
 	if !slices.Contains(Policies, name) {
 		return nil, fmt.Errorf("no policy %q: there are module, %v", name, Policies)
 	}
-	return func(port router.Actions, now router.Time, seed int64, s router.Settings) core.Router {
+	return func(port router.Actions, now router.Time, seed int64, s router.Settings) routing.Router {
 		p := &policy{name: name, truth: truth, port: port, rng: rand.New(rand.NewSource(seed)), workers: map[router.WorkerID]*worker{},
 			held: map[uint64]*rpc{}}
 		p.heed(s)
@@ -93,11 +93,11 @@
 func (p *policy) heed(s router.Settings) {
 	number := func(name string) float64 { v, _ := s[name].(float64); return v }
 	word := func(name string) string { v, _ := s[name].(string); return v }
-	p.most, p.back = int(number(terms.Join(terms.May, terms.CallOuts))), router.Time(number(terms.Join(terms.May, terms.ComeBack)))
+	p.most, p.back = int(number(settingkeys.Join(settingkeys.May, settingkeys.CallOuts))), router.Time(number(settingkeys.Join(settingkeys.May, settingkeys.ComeBack)))
 	p.methods = nil
-	for i := range int(number(terms.Methods)) {
-		p.methods = append(p.methods, method{effect: word(terms.Item(terms.Methods, i, terms.Effect)),
-			group: word(terms.Item(terms.Methods, i, terms.Group)), window: router.Time(number(terms.Item(terms.Methods, i, terms.Window)))})
+	for i := range int(number(settingkeys.Methods)) {
+		p.methods = append(p.methods, method{effect: word(settingkeys.Item(settingkeys.Methods, i, settingkeys.Effect)),
+			group: word(settingkeys.Item(settingkeys.Methods, i, settingkeys.Group)), window: router.Time(number(settingkeys.Item(settingkeys.Methods, i, settingkeys.Window)))})
 	}
 }
 
@@ -146,7 +146,7 @@
 
 // Submit implements core.Module.
 func (p *policy) Submit(now router.Time, id router.RPCID, m router.MethodID, _ router.CustomerID, fn router.FunctionID,
-	budget router.Time, _, _ float64, _ int, _ router.Time, _ bool) core.Handle {
+	budget router.Time, _, _ float64, _ int, _ router.Time, _ bool) routing.Handle {
 	p.now = now
 	r := &rpc{p: p, id: id, m: p.methods[m], fn: fn, end: now + budget}
 	r.send()
--- a/internal/leave/leave.go
+++ b/internal/cancellation/leave.go
@@ -1,7 +1,7 @@
-// Package leave decides what is owed when somebody leaves or cancels: whether an RPC that was called off may be
+// Package cancellation decides what is owed when somebody leaves or cancels: whether an RPC that was called off may be
 // denied or must be aborted, how long its worker is waited for, and which load orders nobody wants any more. No I/O,
 // no clock; docs/design/unix-clients.md has the states.
-package leave
+package cancellation
 
 import "mallowlanding/router"
 
--- a/internal/keys/keystest/keystest.go
+++ b/internal/certs/certstest/keystest.go
@@ -1,5 +1,5 @@
-// Package keystest makes certificates and keys for tests.
-package keystest
+// Package certstest makes certificates and keys for tests.
+package certstest
 
 import (
 	"bytes"
--- a/internal/keys/keys.go
+++ b/internal/certs/keys.go
@@ -1,6 +1,6 @@
-// Package keys holds certificates and keys for TLS: read and checked whole before they act, taken anew when their
+// Package certs holds certificates and keys for TLS: read and checked whole before they act, taken anew when their
 // files change without a connection dropped, told of ahead of their expiry.
-package keys
+package certs
 
 import (
 	"cmp"
--- a/internal/keys/keys_test.go
+++ b/internal/certs/keys_test.go
@@ -1,4 +1,4 @@
-package keys
+package certs
 
 import (
 	"bytes"
@@ -15,27 +15,27 @@
 
 	"github.com/rs/zerolog"
 
-	"mallowlanding/internal/keys/keystest"
+	"mallowlanding/internal/certs/certstest"
 )
 
 func TestLoad(t *testing.T) {
 	dir, now := t.TempDir(), time.Now()
 	at := func(name string) string { return filepath.Join(dir, name) }
 	day := 24 * time.Hour
-	ca := keystest.New(t, "ca", nil, now.Add(-day), now.Add(100*day))
-	other := keystest.New(t, "other", nil, now.Add(-day), now.Add(100*day))
+	ca := certstest.New(t, "ca", nil, now.Add(-day), now.Add(100*day))
+	other := certstest.New(t, "other", nil, now.Add(-day), now.Add(100*day))
 	f := Files{at("cert"), at("key"), ""}
 	for _, c := range []struct {
 		name string
 		make func()
 		want string
 	}{
-		{"good", func() { keystest.New(t, "front", ca, now.Add(-day), now.Add(day)).Write(t, f.Cert, f.Key, ca) }, ""},
-		{"expired", func() { keystest.New(t, "front", ca, now.Add(-2*day), now.Add(-day)).Write(t, f.Cert, f.Key) }, `"front" expired at`},
-		{"not yet", func() { keystest.New(t, "front", ca, now.Add(day), now.Add(2*day)).Write(t, f.Cert, f.Key) }, `is not valid before`},
-		{"wrong chain", func() { keystest.New(t, "front", ca, now.Add(-day), now.Add(day)).Write(t, f.Cert, f.Key, other) }, `"other" did not sign`},
+		{"good", func() { certstest.New(t, "front", ca, now.Add(-day), now.Add(day)).Write(t, f.Cert, f.Key, ca) }, ""},
+		{"expired", func() { certstest.New(t, "front", ca, now.Add(-2*day), now.Add(-day)).Write(t, f.Cert, f.Key) }, `"front" expired at`},
+		{"not yet", func() { certstest.New(t, "front", ca, now.Add(day), now.Add(2*day)).Write(t, f.Cert, f.Key) }, `is not valid before`},
+		{"wrong chain", func() { certstest.New(t, "front", ca, now.Add(-day), now.Add(day)).Write(t, f.Cert, f.Key, other) }, `"other" did not sign`},
 		{"wrong key", func() {
-			keystest.New(t, "front", ca, now.Add(-day), now.Add(day)).Write(t, f.Cert, f.Key)
+			certstest.New(t, "front", ca, now.Add(-day), now.Add(day)).Write(t, f.Cert, f.Key)
 			other.Write(t, at("x"), f.Key)
 		}, "private key does not match"},
 		{"no key", func() { os.Remove(f.Key) }, "no such file"},
@@ -55,10 +55,10 @@
 	dir, now := t.TempDir(), time.Now()
 	at := func(name string) string { return filepath.Join(dir, name) }
 	day := 24 * time.Hour
-	ca := keystest.New(t, "ca", nil, now.Add(-day), now.Add(100*day))
+	ca := certstest.New(t, "ca", nil, now.Add(-day), now.Add(100*day))
 	ca.Write(t, at("ca"), "")
 	f := Files{at("cert"), at("key"), at("ca")}
-	keystest.New(t, "first", ca, now.Add(-day), now.Add(10*day)).Write(t, f.Cert, f.Key)
+	certstest.New(t, "first", ca, now.Add(-day), now.Add(10*day)).Write(t, f.Cert, f.Key)
 	var log bytes.Buffer
 	s, err := Open(f, zerolog.New(&log))
 	if err != nil {
@@ -79,10 +79,10 @@
 			go func() { defer c.Close(); _, _ = io.Copy(c, c) }()
 		}
 	}()
-	client := keystest.New(t, "booking-app", ca, now.Add(-day), now.Add(day))
+	client := certstest.New(t, "booking-app", ca, now.Add(-day), now.Add(day))
 	roots := x509.NewCertPool()
 	roots.AddCert(ca.Cert)
-	dial := func(name string, with *keystest.Pair) (*tls.Conn, error) {
+	dial := func(name string, with *certstest.Pair) (*tls.Conn, error) {
 		c := &tls.Config{RootCAs: roots, ServerName: name}
 		if with != nil {
 			c.Certificates = []tls.Certificate{{Certificate: [][]byte{with.DER}, PrivateKey: with.Key}}
@@ -102,11 +102,11 @@
 		nc.Close()
 		t.Error("a client without a certificate came in")
 	}
-	if nc, err := dial("first", keystest.New(t, "booking-app", nil, now.Add(-day), now.Add(day))); err == nil {
+	if nc, err := dial("first", certstest.New(t, "booking-app", nil, now.Add(-day), now.Add(day))); err == nil {
 		nc.Close()
 		t.Error("a client of another authority came in")
 	}
-	keystest.New(t, "second", ca, now.Add(-day), now.Add(20*day)).Write(t, f.Cert, f.Key)
+	certstest.New(t, "second", ca, now.Add(-day), now.Add(20*day)).Write(t, f.Cert, f.Key)
 	if !s.ReloadIfChanged(now.Add(time.Second), day) {
 		t.Fatal("new keys are not taken")
 	}
--- a/internal/clients/conn.go
+++ b/internal/clients/conn.go
@@ -16,11 +16,11 @@
 	"golang.org/x/sys/unix"
 
 	"mallowlanding/internal/access"
-	"mallowlanding/internal/front"
+	"mallowlanding/internal/admission"
+	"mallowlanding/internal/dispatch"
+	"mallowlanding/internal/eventloop"
 	"mallowlanding/internal/jsonrpc"
-	"mallowlanding/internal/limits"
-	"mallowlanding/internal/sock"
-	"mallowlanding/internal/turn"
+	"mallowlanding/internal/sockio"
 	"mallowlanding/router"
 
 	"github.com/go-json-experiment/json/jsontext"
@@ -33,11 +33,11 @@
 type conn struct {
 	s       *Server
 	nc      net.Conn
-	now     sock.Socket
+	now     sockio.Socket
 	dec     jsonrpc.Decoder
 	headers atomic.Bool
 	right   access.Permissions
-	peer    limits.PeerID
+	peer    admission.PeerID
 	turns   chan struct{} // room for RPCs that are on their way to the loop
 	batch   *batch        // the one that the reader is in
 
@@ -48,7 +48,7 @@
 	more    *sync.Cond
 
 	// the loop's
-	desk  *front.Conn
+	desk  *dispatch.Conn
 	byID  map[string]*pending
 	dirty bool // it has answers of this turn
 }
@@ -59,7 +59,7 @@
 	c     *conn
 	id    jsonrpc.ID // empty: a notification
 	batch *batch
-	ask   *front.Request
+	ask   *dispatch.Request
 }
 
 // batch gathers answers until all its parts have theirs.
@@ -70,8 +70,8 @@
 	out  []byte
 }
 
-func newConn(s *Server, nc net.Conn, peer limits.PeerID, right access.Permissions) *conn {
-	c := &conn{s: s, nc: nc, now: sock.NewSocket(nc), turns: make(chan struct{}, s.o.Limits.OpenRPCs), byID: map[string]*pending{}, right: right}
+func newConn(s *Server, nc net.Conn, peer admission.PeerID, right access.Permissions) *conn {
+	c := &conn{s: s, nc: nc, now: sockio.NewSocket(nc), turns: make(chan struct{}, s.o.Limits.OpenRPCs), byID: map[string]*pending{}, right: right}
 	c.peer = peer
 	c.more = sync.NewCond(&c.mu)
 	return c
@@ -161,7 +161,7 @@
 }
 
 // at is the connection's place at the desk; in a turn.
-func (c *conn) at() *front.Conn {
+func (c *conn) at() *dispatch.Conn {
 	if c.desk == nil {
 		c.desk = c.s.desk.OpenConn(c.peer)
 	}
@@ -382,7 +382,7 @@
 	}
 }
 
-func readParams(raw []byte) (ps front.Params, err error) {
+func readParams(raw []byte) (ps dispatch.Params, err error) {
 	ps.TimeoutMS = -1
 	if len(raw) == 0 || raw[0] != '{' {
 		return ps, errors.New("params must be an object that names them")
@@ -446,7 +446,7 @@
 }
 
 // take brings the RPC to the desk; in a turn.
-func (c *conn) take(p *pending, ps front.Params, came time.Time) {
+func (c *conn) take(p *pending, ps dispatch.Params, came time.Time) {
 	if len(p.id) > 0 && c.byID[string(p.id)] != nil {
 		p.answer(true, func(out []byte, id jsonrpc.ID) []byte {
 			return jsonrpc.AppendError(out, id, jsonrpc.InvalidRequest, "an RPC of this id is open on this connection", nil)
@@ -456,7 +456,7 @@
 	if len(p.id) > 0 {
 		c.byID[string(p.id)] = p
 	}
-	p.ask = c.at().Submit(ps, turn.FromDuration(time.Since(came)), p)
+	p.ask = c.at().Submit(ps, eventloop.FromDuration(time.Since(came)), p)
 }
 
 // over notes that the RPC has its answer.
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -18,10 +18,10 @@
 	"golang.org/x/sys/unix"
 
 	"mallowlanding/internal/access"
-	"mallowlanding/internal/front"
+	"mallowlanding/internal/admission"
+	"mallowlanding/internal/dispatch"
+	"mallowlanding/internal/eventloop"
 	"mallowlanding/internal/jsonrpc"
-	"mallowlanding/internal/limits"
-	"mallowlanding/internal/turn"
 	"mallowlanding/router"
 )
 
@@ -53,8 +53,8 @@
 // Server takes connections. The last field belongs to the loop's goroutine.
 type Server struct {
 	o        Options
-	loop     *turn.Loop
-	desk     *front.Dispatcher
+	loop     *eventloop.Loop
+	desk     *dispatch.Dispatcher
 	mu       sync.Mutex
 	conns    map[*conn]bool
 	accepted chan struct{}  // closed once no more connections are taken
@@ -64,7 +64,7 @@
 }
 
 // New makes a server for a desk that loop drives.
-func New(loop *turn.Loop, d *front.Dispatcher, o Options) *Server {
+func New(loop *eventloop.Loop, d *dispatch.Dispatcher, o Options) *Server {
 	return &Server{o: o, loop: loop, desk: d, conns: map[*conn]bool{}, accepted: make(chan struct{})}
 }
 
@@ -140,7 +140,7 @@
 			turnAway(nc, PermissionDenied, err.Error())
 			continue
 		}
-		c := newConn(s, nc, limits.PeerID(uid), right)
+		c := newConn(s, nc, admission.PeerID(uid), right)
 		s.mu.Lock()
 		full := len(s.conns) >= s.o.Limits.Connections
 		if !full {
--- a/internal/steer/steer.go
+++ b/internal/configclient/steer.go
@@ -1,6 +1,6 @@
-// Package steer is the shell around internal/adopt: it follows a control service over gRPC, has versions checked and
+// Package configclient is the shell around internal/adopt: it follows a control service over gRPC, has versions checked and
 // applied by whoever runs the front end, and keeps the last good one on disk. It decides nothing about a version.
-package steer
+package configclient
 
 import (
 	"context"
@@ -15,10 +15,10 @@
 	"google.golang.org/grpc/keepalive"
 	"google.golang.org/grpc/status"
 
-	"mallowlanding/internal/adopt"
+	"mallowlanding/internal/configdiff"
+	"mallowlanding/internal/configupdate"
 	"mallowlanding/internal/control/wire"
 	"mallowlanding/internal/lastgood"
-	"mallowlanding/internal/resources"
 	"mallowlanding/internal/settings"
 )
 
@@ -61,13 +61,13 @@
 // Client follows. Its events are done one after the other by Run.
 type Client struct {
 	o      Options
-	f      *adopt.Follower
+	f      *configupdate.Follower
 	events chan func()
 	quit   chan struct{} // closed once Run is over: events are passed over
 
 	parts  []settings.Resource // of what is held
 	from   string
-	offers map[adopt.Version]*offer
+	offers map[configupdate.Version]*offer
 	send   func(*wire.FollowRequest) // nil: no stream
 	heard  time.Time
 	status atomic.Pointer[Status]
@@ -101,15 +101,15 @@
 // New makes a follower that has b in force.
 func New(o Options, b Initial) *Client {
 	s := &Client{o: o, events: make(chan func(), 64), quit: make(chan struct{}), from: b.Source, heard: time.Now(),
-		offers: map[adopt.Version]*offer{}}
-	held := adopt.VersionRef{}
+		offers: map[configupdate.Version]*offer{}}
+	held := configupdate.VersionRef{}
 	if b.Saved.Version > 0 {
-		held = adopt.VersionRef{Version: adopt.Version(b.Saved.Version), Digest: resources.Digest(b.Saved.Text)}
-		if _, parts, err := resources.Canonical("kept", b.Saved.Text); err == nil { // it was in force
+		held = configupdate.VersionRef{Version: configupdate.Version(b.Saved.Version), Digest: configdiff.Digest(b.Saved.Text)}
+		if _, parts, err := configdiff.Canonical("kept", b.Saved.Text); err == nil { // it was in force
 			s.parts = parts
 		}
 	}
-	s.f = adopt.New((*port)(s), held, held.Version > 0)
+	s.f = configupdate.New((*port)(s), held, held.Version > 0)
 	s.tell()
 	return s
 }
@@ -284,7 +284,7 @@
 // offered puts a response together and hands it to the module.
 func (s *Client) offered(r *wire.FollowResponse) {
 	s.heard = time.Now()
-	o := adopt.Offer{VersionRef: adopt.VersionRef{Version: adopt.Version(r.Version), Digest: r.Digest}, Nonce: r.Nonce, Base: adopt.Version(r.Base)}
+	o := configupdate.Offer{VersionRef: configupdate.VersionRef{Version: configupdate.Version(r.Version), Digest: r.Digest}, Nonce: r.Nonce, Base: configupdate.Version(r.Base)}
 	held, _ := s.f.Current()
 	var base []settings.Resource
 	if r.Base != 0 && o.Base == held.Version {
@@ -294,13 +294,13 @@
 	for _, p := range r.Resources {
 		set = append(set, settings.Resource{Type: p.GetId().GetType(), Name: p.GetId().GetName(), Text: p.Text})
 	}
-	var removed []resources.ID
+	var removed []configdiff.ID
 	for _, id := range r.Removed {
-		removed = append(removed, resources.ID{Type: id.Type, Name: id.Name})
+		removed = append(removed, configdiff.ID{Type: id.Type, Name: id.Name})
 	}
-	parts := resources.Patch(base, set, removed)
+	parts := configdiff.Patch(base, set, removed)
 	text := settings.ResourcesText(parts)
-	o.DigestOK = resources.Digest(text) == r.Digest
+	o.DigestOK = configdiff.Digest(text) == r.Digest
 	if was := s.offers[o.Version]; was == nil || was.change == nil { // one that is being applied stays
 		s.offers[o.Version] = &offer{parts: parts, text: text}
 	}
@@ -311,7 +311,7 @@
 type port Client
 
 // Check implements adopt.Port.
-func (p *port) Check(v adopt.Version) {
+func (p *port) Check(v configupdate.Version) {
 	s, o := (*Client)(p), p.offers[v]
 	go func() {
 		change, err := s.o.Check(uint64(v), o.text)
@@ -326,7 +326,7 @@
 }
 
 // Apply implements adopt.Port.
-func (p *port) Apply(v adopt.Version) {
+func (p *port) Apply(v configupdate.Version) {
 	s, o := (*Client)(p), p.offers[v]
 	go func() {
 		err := o.change.Apply()
@@ -343,7 +343,7 @@
 }
 
 // Save implements adopt.Port.
-func (p *port) Save(v adopt.Version) {
+func (p *port) Save(v configupdate.Version) {
 	s, o := (*Client)(p), p.offers[v]
 	s.parts = o.parts
 	for other := range s.offers {
@@ -377,7 +377,7 @@
 func (p *port) Accept(nonce string, _ bool) { p.answer(nonce, nil) }
 
 // Refuse implements adopt.Port.
-func (p *port) Refuse(nonce string, v adopt.Version, why string) {
+func (p *port) Refuse(nonce string, v configupdate.Version, why string) {
 	p.answer(nonce, func(r *wire.FollowRequest) {
 		r.Refused = uint64(v)
 		r.ErrorDetail = &rpcstatus.Status{Code: int32(codes.InvalidArgument), Message: why}
@@ -393,6 +393,6 @@
 func (p *port) Log(text string) { p.o.Log.Info().Str("from", "configuration").Msg(text) }
 
 // SendStatus implements adopt.Port.
-func (p *port) SendStatus(held adopt.VersionRef, refused adopt.Version, kept, _ bool) {
+func (p *port) SendStatus(held configupdate.VersionRef, refused configupdate.Version, kept, _ bool) {
 	(*Client)(p).say(&wire.FollowRequest{Version: uint64(held.Version), Digest: held.Digest, Kept: kept, Refused: uint64(refused)})
 }
--- a/internal/resources/resources.go
+++ b/internal/configdiff/resources.go
@@ -1,5 +1,5 @@
-// Package resources compares configurations resource by resource: what one changes in another, and what comes of a change.
-package resources
+// Package configdiff compares configurations resource by resource: what one changes in another, and what comes of a change.
+package configdiff
 
 import (
 	"crypto/sha256"
--- a/internal/adopt/adopt.go
+++ b/internal/configupdate/adopt.go
@@ -1,7 +1,7 @@
-// Package adopt decides what a follower of streamed configuration does with each version that it is offered: check it,
+// Package configupdate decides what a follower of streamed configuration does with each version that it is offered: check it,
 // accept it, turn it down, wait with it, or go back to one that stood before. No I/O, no goroutines, no clock; the shell
 // around it does streams, files and sockets. docs/design/streamed-configuration.md has the states.
-package adopt
+package configupdate
 
 import "fmt"
 
--- a/internal/adopt/adopt_test.go
+++ b/internal/configupdate/adopt_test.go
@@ -1,4 +1,4 @@
-package adopt
+package configupdate
 
 import (
 	"flag"
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -27,8 +27,8 @@
 	"google.golang.org/grpc/status"
 
 	"mallowlanding/internal/clients"
+	"mallowlanding/internal/configdiff"
 	"mallowlanding/internal/control/wire"
-	"mallowlanding/internal/resources"
 	"mallowlanding/internal/rollout"
 	"mallowlanding/internal/settings"
 )
@@ -397,7 +397,7 @@
 	if parts, known := s.parts[e.Version]; known {
 		return parts
 	}
-	_, parts, err := resources.Canonical("configuration", e.Text)
+	_, parts, err := configdiff.Canonical("configuration", e.Text)
 	if err != nil { // it was canonical when it was numbered
 		return nil
 	}
@@ -530,8 +530,8 @@
 	out := &wire.FollowResponse{Version: uint64(target), Nonce: f.nonce, Digest: e.Digest}
 	set := parts
 	if base := st.Entries[f.last.Version]; !f.whole && base != nil && base.Text != "" && base.Digest == f.last.Digest {
-		var removed []resources.ID
-		set, removed = resources.Diff(f.s.partsOf(base), parts)
+		var removed []configdiff.ID
+		set, removed = configdiff.Diff(f.s.partsOf(base), parts)
 		out.Base = uint64(base.Version)
 		for _, id := range removed {
 			out.Removed = append(out.Removed, &wire.ResourceName{Type: id.Type, Name: id.Name})
@@ -546,7 +546,7 @@
 
 // Submit numbers a configuration.
 func (s *service) Submit(_ context.Context, r *wire.SubmitRequest) (*wire.SubmitResponse, error) {
-	text, _, err := resources.Canonical("configuration", r.Text)
+	text, _, err := configdiff.Canonical("configuration", r.Text)
 	if err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
@@ -555,7 +555,7 @@
 			return nil, status.Error(codes.InvalidArgument, err.Error())
 		}
 	}
-	return s.answer(s.agree(command{Submit: &submit{Text: text, Digest: resources.Digest(text), By: r.By, Note: r.Note,
+	return s.answer(s.agree(command{Submit: &submit{Text: text, Digest: configdiff.Digest(text), By: r.By, Note: r.Note,
 		Base: rollout.Version(r.Base)}}))
 }
 
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -17,10 +17,10 @@
 	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/protobuf/proto"
 
+	"mallowlanding/internal/configclient"
 	"mallowlanding/internal/control/wire"
 	"mallowlanding/internal/lastgood"
 	"mallowlanding/internal/settings"
-	"mallowlanding/internal/steer"
 )
 
 // cable is the network between instances; cut ones reach nobody and are reached by nobody.
@@ -351,15 +351,15 @@
 }
 
 // follower is a real one whose versions do nothing.
-func follower(t *testing.T, r *trio, fs lastgood.FS) (s *steer.Client, stop func()) {
-	o := steer.Options{Name: "f", Sockets: r.sockets(), Store: lastgood.Store{FS: fs, Path: r.path("kept")},
+func follower(t *testing.T, r *trio, fs lastgood.FS) (s *configclient.Client, stop func()) {
+	o := configclient.Options{Name: "f", Sockets: r.sockets(), Store: lastgood.Store{FS: fs, Path: r.path("kept")},
 		RedialMin: 5 * time.Millisecond, RedialMax: 20 * time.Millisecond, ReportInterval: 20 * time.Millisecond, Log: zerolog.Nop(),
-		Check: func(v uint64, text string) (steer.Change, error) {
+		Check: func(v uint64, text string) (configclient.Change, error) {
 			_, err := settings.ReadConfiguration(fmt.Sprintf("version %d", v), strings.NewReader(text))
 			return nothing{}, err
 		}}
-	b, _ := steer.LoadInitial(o)
-	s = steer.New(o, b)
+	b, _ := configclient.LoadInitial(o)
+	s = configclient.New(o, b)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { defer close(ended); _ = s.Run(ctx) }()
--- a/internal/repeats/repeats.go
+++ b/internal/dedup/repeats.go
@@ -1,9 +1,9 @@
-// Package repeats decides what a tokened RPC does that comes while one of the same token is still at work here: it
+// Package dedup decides what a tokened RPC does that comes while one of the same token is still at work here: it
 // joins it, and both get its answer, or it runs beside it, or it is refused. No I/O, no clock.
 //
 // Within one front end a repeat joins: a second call-out would ask the workers' memory of tokens for what is known
 // here. Across front ends that memory decides, within its group and window.
-package repeats
+package dedup
 
 import "hash/maphash"
 
--- a/internal/front/explore_test.go
+++ b/internal/dispatch/explore_test.go
@@ -1,4 +1,4 @@
-package front
+package dispatch
 
 import (
 	"fmt"
@@ -6,10 +6,10 @@
 	"strings"
 	"testing"
 
+	"mallowlanding/internal/admission"
 	"mallowlanding/internal/engine"
-	"mallowlanding/internal/ident"
-	"mallowlanding/internal/limits"
-	"mallowlanding/internal/terms"
+	"mallowlanding/internal/nameid"
+	"mallowlanding/internal/settingkeys"
 	"mallowlanding/router"
 )
 
@@ -64,15 +64,15 @@
 	w := &world{effect: effect, now: 1e6, ran: map[engine.CallOutID]bool{}}
 	method := engine.Method{Name: "m", Effect: effect, Group: "all", Gain: 1, Deadline: 10000}
 	w.e = engine.New(engine.Options{Now: w.now, CancelWait: 1000, Log: func(string) {}, Settings: router.Settings{
-		terms.Methods: 1.0, terms.Item(terms.Methods, 0, terms.Effect): effect,
-		terms.Item(terms.Methods, 0, terms.Group): "all", terms.Item(terms.Methods, 0, terms.Window): 20000.0,
-		terms.Join(terms.May, terms.CallOuts): 3.0, terms.Join(terms.May, terms.Retract): true}})
-	w.d = New(w.e, Options{Methods: []engine.Method{method}, Limits: limits.Settings{MaxHeld: 64, MaxRetryAfter: 5000},
+		settingkeys.Methods: 1.0, settingkeys.Item(settingkeys.Methods, 0, settingkeys.Effect): effect,
+		settingkeys.Item(settingkeys.Methods, 0, settingkeys.Group): "all", settingkeys.Item(settingkeys.Methods, 0, settingkeys.Window): 20000.0,
+		settingkeys.Join(settingkeys.May, settingkeys.CallOuts): 3.0, settingkeys.Join(settingkeys.May, settingkeys.Retract): true}})
+	w.d = New(w.e, Options{Methods: []engine.Method{method}, Limits: admission.Settings{MaxHeld: 64, MaxRetryAfter: 5000},
 		FunctionSpec: func(int, string) engine.FunctionSpec {
 			return engine.FunctionSpec{MemoryMB: 100, Lanes: 4, LoadTime: 1000}
 		}})
 	for i := range w.conns {
-		w.conns[i] = w.d.OpenConn(limits.PeerID(i))
+		w.conns[i] = w.d.OpenConn(admission.PeerID(i))
 	}
 	w.turn(func() {
 		w.e.BeginWorkerList(router.ListComplete, 1)
@@ -127,7 +127,7 @@
 		if o != router.Full && o != router.ConnectFailed && o != router.NotLoaded {
 			w.ran[id>>8] = true
 		}
-		w.e.CallOutEnded(id, ident.Worker("w"), o, router.WarmthUnknown, 0, nil, []byte("1"), nil)
+		w.e.CallOutEnded(id, nameid.Worker("w"), o, router.WarmthUnknown, 0, nil, []byte("1"), nil)
 	}
 }
 
--- a/internal/front/front.go
+++ b/internal/dispatch/front.go
@@ -1,7 +1,7 @@
-// Package front is the part of the clients' side that no protocol has to do with: the gate before the engine, repeats
+// Package dispatch is the part of the clients' side that no protocol has to do with: the gate before the engine, repeats
 // that join, cancelling, time that runs out, and who is owed an answer. Each protocol's front decodes what its clients
 // ask for, takes it here, and encodes the one answer.
-package front
+package dispatch
 
 import (
 	"cmp"
@@ -11,10 +11,10 @@
 	"slices"
 	"sync/atomic"
 
+	"mallowlanding/internal/admission"
+	"mallowlanding/internal/dedup"
 	"mallowlanding/internal/engine"
-	"mallowlanding/internal/limits"
-	"mallowlanding/internal/repeats"
-	"mallowlanding/internal/turn"
+	"mallowlanding/internal/eventloop"
 	"mallowlanding/router"
 )
 
@@ -32,7 +32,7 @@
 	Customers    []string // by place, empty where one is gone; none: RPCs name no customer
 	FunctionSpec func(method int, name string) engine.FunctionSpec
 	AnswerMargin router.Time // kept of each RPC's time for the answer's way to the client
-	Limits       limits.Settings
+	Limits       admission.Settings
 	WrapClient   func(engine.Client) engine.Client // nil: answers go as they are
 	NoJoin       bool                              // RPCs of one token never join: each answer is one that a worker made for that very RPC
 }
@@ -57,10 +57,10 @@
 	engine   *engine.Engine
 	service  atomic.Pointer[Service]
 	now      router.Time
-	timers   turn.Timers
-	gate     *limits.Queue
-	repeats  *repeats.Tracker[*Request]
-	works    map[*repeats.SharedRPC[*Request]]*work
+	timers   eventloop.Timers
+	gate     *admission.Queue
+	repeats  *dedup.Tracker[*Request]
+	works    map[*dedup.SharedRPC[*Request]]*work
 	order    uint64
 	stopping bool
 }
@@ -91,15 +91,15 @@
 
 // New makes the desk of an engine.
 func New(e *engine.Engine, o Options) *Dispatcher {
-	d := &Dispatcher{o: o, engine: e, gate: limits.New(o.Limits), repeats: repeats.New[*Request](),
-		works: map[*repeats.SharedRPC[*Request]]*work{}}
+	d := &Dispatcher{o: o, engine: e, gate: admission.New(o.Limits), repeats: dedup.New[*Request](),
+		works: map[*dedup.SharedRPC[*Request]]*work{}}
 	d.service.Store(NewService(o.Methods, o.Customers, o.FunctionSpec))
 	return d
 }
 
 // UpdateSettings takes a new service and new bounds; in a turn. Methods and customers keep their places; one that is gone
 // keeps it for the RPCs that have it. An RPC that waits at the gate goes by the new settings, or is refused by them.
-func (d *Dispatcher) UpdateSettings(s *Service, gate limits.Settings) {
+func (d *Dispatcher) UpdateSettings(s *Service, gate admission.Settings) {
 	d.service.Store(s)
 	d.gate.UpdateSettings(gate)
 }
@@ -168,13 +168,13 @@
 // Conn is the handle of one client's connection.
 type Conn struct {
 	d    *Dispatcher
-	gate *limits.Conn
+	gate *admission.Conn
 	open map[*Request]bool
 	gone bool
 }
 
 // OpenConn tells of a connection.
-func (d *Dispatcher) OpenConn(peer limits.PeerID) *Conn {
+func (d *Dispatcher) OpenConn(peer admission.PeerID) *Conn {
 	return &Conn{d: d, gate: d.gate.OpenConn(peer), open: map[*Request]bool{}}
 }
 
@@ -209,8 +209,8 @@
 	reply  Responder
 	order  uint64
 	until  router.Time // its client's time is up
-	ticket *limits.Ticket
-	timer  turn.Timer // while it waits at the gate, or joined another's work
+	ticket *admission.Ticket
+	timer  eventloop.Timer // while it waits at the gate, or joined another's work
 	work   *work
 }
 
@@ -219,7 +219,7 @@
 	d     *Dispatcher
 	rpc   *engine.RPC
 	lead  *Request // whose ticket holds the place
-	group *repeats.SharedRPC[*Request]
+	group *dedup.SharedRPC[*Request]
 }
 
 // Submit brings an RPC to the gate. Waited is how long ago it came in, which is taken off its time. The answer may be given
@@ -272,14 +272,14 @@
 	method := d.MethodAt(a.p.Method)
 	w := &work{d: d, lead: a}
 	if method.Effect == router.Tokened && !d.o.NoJoin {
-		key := repeats.Key{Method: method.Name, Customer: a.p.Customer, Token: a.p.Token}
+		key := dedup.Key{Method: method.Name, Customer: a.p.Customer, Token: a.p.Token}
 		group, decision := d.repeats.Add(key, a.p.Function, a, a.p.Payload, a.p.Blob)
 		switch decision {
-		case repeats.Conflicting:
+		case dedup.Conflicting:
 			a.forget()
 			a.reply.Rejected("an RPC of this token is open that asks for something else")
 			return
-		case repeats.Joined:
+		case dedup.Joined:
 			a.work = d.works[group]
 			a.ticket.SetHeld(false)
 			d.timers.Set(&a.timer, a.until-d.o.AnswerMargin, func(router.Time) { a.expire() })
--- a/internal/emulate/against.go
+++ b/internal/emulate/against.go
@@ -8,12 +8,12 @@
 
 	"github.com/jedib0t/go-pretty/v6/table"
 
-	"mallowlanding/internal/day"
+	"mallowlanding/internal/scenario"
 )
 
 // Against holds an emulated day beside the same scenario on sockets, played more than once: a figure agrees where it lies
 // no further from what sockets gave than they lie apart from each other. It tells how many don't.
-func Against(out io.Writer, name string, emulated *day.Outcome, sockets []*day.Outcome) (differ int) {
+func Against(out io.Writer, name string, emulated *scenario.Outcome, sockets []*scenario.Outcome) (differ int) {
 	t := table.NewWriter()
 	t.SetOutputMirror(out)
 	t.SetStyle(table.StyleLight)
@@ -24,7 +24,7 @@
 		methods = append(methods, m)
 	}
 	slices.Sort(methods)
-	tally := func(o *day.Outcome, m string) *day.Tally {
+	tally := func(o *scenario.Outcome, m string) *scenario.Tally {
 		if m == "" {
 			return o.All()
 		}
@@ -33,13 +33,13 @@
 	for _, m := range append(methods, "") {
 		for _, f := range []struct {
 			name string
-			of   func(t *day.Tally) float64
+			of   func(t *scenario.Tally) float64
 		}{
-			{"gain kept", func(t *day.Tally) float64 { return t.GainKept / max(t.GainAsked, 1e-9) }},
-			{"ok share", func(t *day.Tally) float64 { return float64(t.OK) / float64(max(t.Asked, 1)) }},
-			{"p50 ms", func(t *day.Tally) float64 { return t.Quantile(50).Seconds() * 1000 }},
-			{"p90 ms", func(t *day.Tally) float64 { return t.Quantile(90).Seconds() * 1000 }},
-			{"p99 ms", func(t *day.Tally) float64 { return t.Quantile(99).Seconds() * 1000 }},
+			{"gain kept", func(t *scenario.Tally) float64 { return t.GainKept / max(t.GainAsked, 1e-9) }},
+			{"ok share", func(t *scenario.Tally) float64 { return float64(t.OK) / float64(max(t.Asked, 1)) }},
+			{"p50 ms", func(t *scenario.Tally) float64 { return t.Quantile(50).Seconds() * 1000 }},
+			{"p90 ms", func(t *scenario.Tally) float64 { return t.Quantile(90).Seconds() * 1000 }},
+			{"p99 ms", func(t *scenario.Tally) float64 { return t.Quantile(99).Seconds() * 1000 }},
 		} {
 			least, most := math.Inf(1), math.Inf(-1)
 			for _, o := range sockets {
--- a/internal/emulate/client.go
+++ b/internal/emulate/client.go
@@ -5,18 +5,18 @@
 	"math"
 	"time"
 
-	"mallowlanding/internal/day"
-	"mallowlanding/internal/front"
+	"mallowlanding/internal/dispatch"
+	"mallowlanding/internal/eventloop"
 	"mallowlanding/internal/record"
-	"mallowlanding/internal/turn"
+	"mallowlanding/internal/scenario"
 	"mallowlanding/router"
 )
 
 // client is one RPC with its repeats.
 type client struct {
-	*day.Client
+	*scenario.Client
 	w     *world
-	a     day.Arrival
+	a     scenario.Arrival
 	tries int
 	last  string // outcome of the try before
 }
@@ -28,41 +28,41 @@
 	life  int // the front end's that it was sent to
 	mark  string
 	ms    float64
-	ask   *front.Request
-	conn  *front.Conn // its own, of an impatient client
-	timer turn.Timer
+	ask   *dispatch.Request
+	conn  *dispatch.Conn // its own, of an impatient client
+	timer eventloop.Timer
 	to    way
 	over  bool // the client knows how it ended, or cares no more
 	left  bool
 }
 
 func (c *client) deadline() router.Time {
-	return c.w.start + turn.FromDuration(c.a.At) + c.Method.Deadline
+	return c.w.start + eventloop.FromDuration(c.a.At) + c.Method.Deadline
 }
 
 // try sends it once.
 func (c *client) try() {
 	w := c.w
-	span, repeat, goes := c.Try(w.since(), turn.ToDuration(c.deadline()-w.now))
+	span, repeat, goes := c.Try(w.since(), eventloop.ToDuration(c.deadline()-w.now))
 	if !goes {
-		c.ended(day.Lost)
+		c.ended(scenario.Lost)
 		return
 	}
-	f := w.fronts[day.Front(c.Rand(), len(w.fronts), func(i int) time.Duration {
+	f := w.fronts[scenario.Front(c.Rand(), len(w.fronts), func(i int) time.Duration {
 		if w.fronts[i].diedAt == 0 {
 			return -1
 		}
-		return turn.ToDuration(w.now - w.fronts[i].diedAt)
-	}, turn.ToDuration(w.s.Clients.Notice))]
+		return eventloop.ToDuration(w.now - w.fronts[i].diedAt)
+	}, eventloop.ToDuration(w.s.Clients.Notice))]
 	t := &attempt{c: c, f: f, life: f.life, mark: fmt.Sprintf("%d/%d", c.a.N, c.tries), ms: math.Floor(float64(span)/1e5) / 10}
 	c.tries++
 	patience, closes, impatient := c.Impatient()
 	if !f.alive || f.closed {
-		w.after(w.delay(), func() { t.ends(day.Lost, false, 0) })
+		w.after(w.delay(), func() { t.ends(scenario.Lost, false, 0) })
 		return
 	}
 	t.keep(record.Sent, "")
-	p := front.Params{Method: f.methods[c.Method.Name], Function: c.a.Function, Customer: c.a.Mix.Customer, TimeoutMS: t.ms,
+	p := dispatch.Params{Method: f.methods[c.Method.Name], Function: c.a.Function, Customer: c.a.Mix.Customer, TimeoutMS: t.ms,
 		Payload: []byte(t.mark), Repeat: repeat}
 	if c.Method.Effect == router.Tokened {
 		p.Token = c.Token
@@ -74,9 +74,9 @@
 			t.ask = t.conn.Submit(p, 0, t)
 		})
 	})
-	w.events.Set(&t.timer, w.now+turn.FromDuration(span), func(router.Time) { t.ends(day.Lost, true, 0) })
+	w.events.Set(&t.timer, w.now+eventloop.FromDuration(span), func(router.Time) { t.ends(scenario.Lost, true, 0) })
 	if impatient {
-		w.after(turn.FromDuration(patience), func() { t.leaves(closes) })
+		w.after(eventloop.FromDuration(patience), func() { t.leaves(closes) })
 	}
 }
 
@@ -101,7 +101,7 @@
 			}
 		})
 	})
-	t.ends(day.Quit, true, 0)
+	t.ends(scenario.Quit, true, 0)
 }
 
 func (t *attempt) keep(kind, outcome string) {
@@ -119,7 +119,7 @@
 		}
 		delete(t.f.open, t)
 		t.keep(record.Answer, outcome)
-		t.ends(outcome, true, turn.ToDuration(comeBack))
+		t.ends(outcome, true, eventloop.ToDuration(comeBack))
 	})
 }
 
@@ -128,7 +128,7 @@
 	if !t.left {
 		t.keep(record.Lost, "")
 	}
-	t.ends(day.Lost, true, 0)
+	t.ends(scenario.Lost, true, 0)
 }
 
 // ends is what the client goes on from.
@@ -144,7 +144,7 @@
 		c.ended(outcome)
 		return
 	}
-	w.after(turn.FromDuration(wait), func() {
+	w.after(eventloop.FromDuration(wait), func() {
 		if c.w.now >= c.deadline() {
 			c.ended(outcome)
 			return
@@ -156,25 +156,25 @@
 
 // ended counts it.
 func (c *client) ended(outcome string) {
-	if outcome == day.Quit {
+	if outcome == scenario.Quit {
 		return
 	}
-	if outcome == day.Lost && c.last != "" && c.last != day.Quit { // no try was left: the last one's outcome stands
+	if outcome == scenario.Lost && c.last != "" && c.last != scenario.Quit { // no try was left: the last one's outcome stands
 		outcome = c.last
 	}
 	c.w.rpcs = append(c.w.rpcs, RPC{N: int32(c.a.N), Method: c.Method.Name, Function: c.a.Function, DueMs: c.a.At.Seconds() * 1000,
-		TookMs: float64(c.w.now-c.w.start-turn.FromDuration(c.a.At)) / 10, Outcome: outcome, Tries: int32(c.tries)})
-	c.w.book.Count(c.Method, c.a.At, outcome, turn.ToDuration(c.w.now-c.w.start-turn.FromDuration(c.a.At)))
+		TookMs: float64(c.w.now-c.w.start-eventloop.FromDuration(c.a.At)) / 10, Outcome: outcome, Tries: int32(c.tries)})
+	c.w.book.Count(c.Method, c.a.At, outcome, eventloop.ToDuration(c.w.now-c.w.start-eventloop.FromDuration(c.a.At)))
 }
 
 // OK implements front.Reply.
-func (t *attempt) OK([]byte, []byte) { t.answered(day.OK, 0) }
+func (t *attempt) OK([]byte, []byte) { t.answered(scenario.OK, 0) }
 
 // Denied implements front.Reply.
-func (t *attempt) Denied(_ string, comeBack router.Time) { t.answered(day.Denied, comeBack) }
+func (t *attempt) Denied(_ string, comeBack router.Time) { t.answered(scenario.Denied, comeBack) }
 
 // Aborted implements front.Reply.
-func (t *attempt) Aborted(string) { t.answered(day.Aborted, 0) }
+func (t *attempt) Aborted(string) { t.answered(scenario.Aborted, 0) }
 
 // Rejected implements front.Reply.
 func (t *attempt) Rejected(string) { t.answered("refused", 0) }
--- a/internal/emulate/emulate_test.go
+++ b/internal/emulate/emulate_test.go
@@ -8,8 +8,8 @@
 	"strings"
 	"testing"
 
-	"mallowlanding/internal/day"
 	"mallowlanding/internal/record"
+	"mallowlanding/internal/scenario"
 	"mallowlanding/internal/settings"
 )
 
@@ -64,28 +64,28 @@
 	whole := settings.Trouble{At: 20000, For: 20000, Part: 0.5, Size: 1}
 	for kind, x := range map[string]struct {
 		size  float64
-		shows func(all *day.Tally) bool
+		shows func(all *scenario.Tally) bool
 	}{
-		"hang":             {1, func(a *day.Tally) bool { return a.Late+a.Denied+a.Aborted > quiet.Late+quiet.Denied+quiet.Aborted }},
-		"slow":             {8, func(a *day.Tally) bool { return a.Quantile(90) > quiet.Quantile(90)*5/4 }},
-		"slow-function":    {20, func(a *day.Tally) bool { return a.Late > quiet.Late }},
-		"fast-errors":      {0.8, func(a *day.Tally) bool { return a.Aborted > quiet.Aborted }},
+		"hang":             {1, func(a *scenario.Tally) bool { return a.Late+a.Denied+a.Aborted > quiet.Late+quiet.Denied+quiet.Aborted }},
+		"slow":             {8, func(a *scenario.Tally) bool { return a.Quantile(90) > quiet.Quantile(90)*5/4 }},
+		"slow-function":    {20, func(a *scenario.Tally) bool { return a.Late > quiet.Late }},
+		"fast-errors":      {0.8, func(a *scenario.Tally) bool { return a.Aborted > quiet.Aborted }},
 		"load-fails":       {1, nil},
 		"report-late":      {2, nil},
-		"flush":            {1, func(a *day.Tally) bool { return a.GainKept < quiet.GainKept }},
-		"close":            {1, func(a *day.Tally) bool { return a.Aborted >= quiet.Aborted }},
-		"crash":            {1, func(a *day.Tally) bool { return a.GainKept < quiet.GainKept }},
+		"flush":            {1, func(a *scenario.Tally) bool { return a.GainKept < quiet.GainKept }},
+		"close":            {1, func(a *scenario.Tally) bool { return a.Aborted >= quiet.Aborted }},
+		"crash":            {1, func(a *scenario.Tally) bool { return a.GainKept < quiet.GainKept }},
 		"ageing":           {3, nil},
 		"deploy":           {0.5, nil},
 		"preempt":          {1, nil},
-		"front-end-kill":   {1, func(a *day.Tally) bool { return a.Lost > 0 }},
+		"front-end-kill":   {1, func(a *scenario.Tally) bool { return a.Lost > 0 }},
 		"front-end-roll":   {1, nil},
-		"front-end-stall":  {1, func(a *day.Tally) bool { return a.Late > quiet.Late }},
-		"answers-lost":     {0.5, func(a *day.Tally) bool { return a.Aborted > quiet.Aborted }},
+		"front-end-stall":  {1, func(a *scenario.Tally) bool { return a.Late > quiet.Late }},
+		"answers-lost":     {0.5, func(a *scenario.Tally) bool { return a.Aborted > quiet.Aborted }},
 		"cut-to-workers":   {1, nil},
 		"cut-from-workers": {1, nil},
 		"clock-step":       {5, nil},
-		"burst":            {3, func(a *day.Tally) bool { return a.Asked > quiet.Asked }},
+		"burst":            {3, func(a *scenario.Tally) bool { return a.Asked > quiet.Asked }},
 		"scan":             {1, nil},
 		"config":           {10, nil},
 	} {
@@ -178,7 +178,7 @@
 			t.Errorf("%+v", p)
 		}
 	}
-	arrivals, quits, n := day.NewArrivals(s), map[string]bool{}, 0
+	arrivals, quits, n := scenario.NewArrivals(s), map[string]bool{}, 0
 	for _, x := range r.Records {
 		if x.Kind == record.Quit {
 			mark, _, _ := strings.Cut(x.RPC, "/")
--- a/internal/emulate/front.go
+++ b/internal/emulate/front.go
@@ -3,15 +3,15 @@
 import (
 	"fmt"
 
+	"mallowlanding/internal/admission"
+	"mallowlanding/internal/dispatch"
 	"mallowlanding/internal/engine"
-	"mallowlanding/internal/front"
-	"mallowlanding/internal/ident"
-	"mallowlanding/internal/limits"
-	"mallowlanding/internal/links"
+	"mallowlanding/internal/eventloop"
+	"mallowlanding/internal/nameid"
 	"mallowlanding/internal/record"
 	"mallowlanding/internal/settings"
 	"mallowlanding/internal/standin"
-	"mallowlanding/internal/turn"
+	"mallowlanding/internal/workerlink"
 	"mallowlanding/router"
 )
 
@@ -29,12 +29,12 @@
 	alive   bool
 	diedAt  router.Time // 0: it lives, as far as clients know
 	e       *engine.Engine
-	desk    *front.Dispatcher
+	desk    *dispatch.Dispatcher
 	methods map[string]int
 	set     *settings.FrontEnd // as it is now
 	links   map[string]*link
-	pool    []*front.Conn
-	wake    turn.Timer
+	pool    []*dispatch.Conn
+	wake    eventloop.Timer
 	closed  bool // it leaves, and no more can be sent to it
 	stalled bool
 	inbox   []func()          // came while it stood still
@@ -63,7 +63,7 @@
 	for i, m := range methods {
 		f.methods[m.Name] = i
 	}
-	f.desk = front.New(f.e, front.Options{Methods: methods, Customers: w.s.Service.CustomerNames(), FunctionSpec: w.s.Service.FunctionFor(),
+	f.desk = dispatch.New(f.e, dispatch.Options{Methods: methods, Customers: w.s.Service.CustomerNames(), FunctionSpec: w.s.Service.FunctionFor(),
 		AnswerMargin: own.Margin, Limits: f.set.LimitSettings()})
 	w.keep(record.Record{Kind: record.Restarts, Who: "world", FrontEnd: f.name()})
 	life := f.life
@@ -83,7 +83,7 @@
 	methods := next.Service.EngineMethods()
 	module := next.RouterSettings()
 	f.e.UpdateSettings(module, router.ParseSettings(module), methods)
-	f.desk.UpdateSettings(front.NewService(methods, next.Service.CustomerNames(), next.Service.FunctionFor()), f.set.LimitSettings())
+	f.desk.UpdateSettings(dispatch.NewService(methods, next.Service.CustomerNames(), next.Service.FunctionFor()), f.set.LimitSettings())
 }
 
 // now is its own clock.
@@ -116,12 +116,12 @@
 }
 
 // conn gives a client's connection.
-func (f *frontEnd) conn(n int, own bool) *front.Conn {
+func (f *frontEnd) conn(n int, own bool) *dispatch.Conn {
 	if own {
-		return f.desk.OpenConn(limits.PeerID(0))
+		return f.desk.OpenConn(admission.PeerID(0))
 	}
 	for len(f.pool) < max(f.w.s.Clients.Connections, 1) {
-		f.pool = append(f.pool, f.desk.OpenConn(limits.PeerID(0)))
+		f.pool = append(f.pool, f.desk.OpenConn(admission.PeerID(0)))
 	}
 	return f.pool[n%len(f.pool)]
 }
@@ -223,7 +223,7 @@
 		return
 	}
 	if l == nil {
-		l = &link{f: f, name: name, id: ident.Worker(name), out: map[engine.CallOutID]*flight{}}
+		l = &link{f: f, name: name, id: nameid.Worker(name), out: map[engine.CallOutID]*flight{}}
 		f.links[name] = l
 	}
 	if l.wanted = true; l.worker == nil && !l.dialing {
@@ -362,7 +362,7 @@
 					return
 				}
 				delete(l.out, id)
-				l.f.e.CallOutEnded(id, l.id, links.OutcomeOf(a.Code), links.ParseWarmth(a.Warmth), a.Crowd, report, []byte(a.Message), nil)
+				l.f.e.CallOutEnded(id, l.id, workerlink.OutcomeOf(a.Code), workerlink.ParseWarmth(a.Warmth), a.Crowd, report, []byte(a.Message), nil)
 			})
 		}
 		x.model.Request(j)
@@ -404,7 +404,7 @@
 		x.model.Hold(orderAt{l, id}, function, copies, fn.MemoryMB, fn.Lanes, fn.LoadTime, func(code, stand int) {
 			l.back(x, func() {
 				l.orders = without(l.orders, id)
-				l.f.e.LoadOrderEnded(id, links.OutcomeOf(code), stand)
+				l.f.e.LoadOrderEnded(id, workerlink.OutcomeOf(code), stand)
 			})
 		})
 	})
--- a/internal/emulate/trouble.go
+++ b/internal/emulate/trouble.go
@@ -6,7 +6,7 @@
 	"math/rand"
 	"strings"
 
-	"mallowlanding/internal/day"
+	"mallowlanding/internal/scenario"
 	"mallowlanding/internal/settings"
 	"mallowlanding/internal/standin"
 	"mallowlanding/router"
@@ -123,11 +123,11 @@
 		every := router.Time(10000 / max(t.Size, 0.001))
 		for n := 0; router.Time(n+1)*every < t.For; n++ {
 			bad := rng.Float64() < t.Part
-			text, err := day.Configuration(w.s, "/run", n, bad, rng)
+			text, err := scenario.Configuration(w.s, "/run", n, bad, rng)
 			w.after(router.Time(n+1)*every, func() { w.configure(text, err) })
 		}
 	case "config-move":
-		w.configure(day.Move(w.s))
+		w.configure(scenario.Move(w.s))
 	case "crash":
 		w.crash(w.part(t.Part, rng), t.For)
 	case "ageing":
--- a/internal/emulate/worker.go
+++ b/internal/emulate/worker.go
@@ -7,11 +7,11 @@
 	"strings"
 
 	"mallowlanding/internal/engine"
-	"mallowlanding/internal/ident"
+	"mallowlanding/internal/eventloop"
+	"mallowlanding/internal/nameid"
 	"mallowlanding/internal/record"
 	"mallowlanding/internal/settings"
 	"mallowlanding/internal/standin"
-	"mallowlanding/internal/turn"
 	"mallowlanding/router"
 )
 
@@ -23,8 +23,8 @@
 	w      *world
 	set    *settings.Worker
 	model  *standin.Model
-	timers turn.Timers
-	wake   turn.Timer
+	timers eventloop.Timers
+	wake   eventloop.Timer
 	alive  bool
 	links  []*link // of front ends, as they came
 }
@@ -36,7 +36,7 @@
 	if w.workers[set.Name] == nil {
 		w.order = append(w.order, set.Name)
 	}
-	w.workers[set.Name], w.byID[ident.Worker(set.Name)] = x, x
+	w.workers[set.Name], w.byID[nameid.Worker(set.Name)] = x, x
 	cold, started := 0.0, router.Time(0)
 	if set.Cold {
 		cold, started = float64(set.Rules.Cold)/10, w.now
--- a/internal/emulate/world.go
+++ b/internal/emulate/world.go
@@ -14,13 +14,13 @@
 	"gonum.org/v1/gonum/stat/distuv"
 
 	"mallowlanding/internal/baseline"
-	"mallowlanding/internal/core"
-	"mallowlanding/internal/day"
-	"mallowlanding/internal/ident"
+	"mallowlanding/internal/eventloop"
+	"mallowlanding/internal/nameid"
 	"mallowlanding/internal/record"
+	"mallowlanding/internal/routing"
+	"mallowlanding/internal/scenario"
 	"mallowlanding/internal/settings"
 	"mallowlanding/internal/standin"
-	"mallowlanding/internal/turn"
 	"mallowlanding/router"
 )
 
@@ -37,8 +37,8 @@
 type world struct {
 	s       *settings.Scenario
 	now     router.Time
-	start   router.Time // of the load
-	events  turn.Timers // of everybody, in the order in which they were set where their time is the same
+	start   router.Time      // of the load
+	events  eventloop.Timers // of everybody, in the order in which they were set where their time is the same
 	delays  distuv.LogNormal
 	net     *rand.Rand // the network's chance
 	shelf   *standin.Shelf
@@ -52,9 +52,9 @@
 	version uint64
 	next    int // number of the next replacement
 	records []record.Record
-	book    *day.Book
+	book    *scenario.Book
 	cuts    []cut
-	module  core.Factory // nil: the router
+	module  routing.Factory // nil: the router
 	rpcs    []RPC
 
 	looks    int
@@ -87,7 +87,7 @@
 
 // Result is a day that was emulated.
 type Result struct {
-	*day.Outcome
+	*scenario.Outcome
 	RPCs    []RPC
 	Records []record.Record
 	Events  int           // that happened
@@ -105,7 +105,7 @@
 	begin := time.Now()
 	n := s.Fleet.Network
 	w := &world{s: s, now: epoch, net: rand.New(rand.NewSource(s.Seed ^ 0x6e6574)), workers: map[string]*worker{}, byID: map[router.WorkerID]*worker{},
-		members: map[string]*member{}, book: day.NewBook(s)}
+		members: map[string]*member{}, book: scenario.NewBook(s)}
 	module, err := baseline.Factory(policy, w.truth)
 	if err != nil {
 		return nil, err
@@ -149,7 +149,7 @@
 		w.now = max(w.now, due)
 		w.events.Fire(w.now)
 	}
-	return &Result{Outcome: day.Judge(s, w.records, w.book, ""), Records: w.records, RPCs: w.rpcs, Looks: w.looks, Overfull: w.overfull, Events: events, Took: time.Since(begin)}, nil
+	return &Result{Outcome: scenario.Judge(s, w.records, w.book, ""), Records: w.records, RPCs: w.rpcs, Looks: w.looks, Overfull: w.overfull, Events: events, Took: time.Since(begin)}, nil
 }
 
 func (w *world) all() (out []*worker) {
@@ -161,7 +161,7 @@
 
 // at has something happen.
 func (w *world) at(t router.Time, do func()) {
-	w.events.Set(new(turn.Timer), max(t, w.now), func(router.Time) { do() })
+	w.events.Set(new(eventloop.Timer), max(t, w.now), func(router.Time) { do() })
 }
 
 // after is at, from now on.
@@ -188,7 +188,7 @@
 
 // keep notes what somebody saw; the virtual clock's zero is 1970.
 func (w *world) keep(r record.Record) {
-	r.T = int64(w.now) * int64(turn.Unit)
+	r.T = int64(w.now) * int64(eventloop.Unit)
 	w.records = append(w.records, r)
 }
 
@@ -210,7 +210,7 @@
 
 // arrive takes the day's next arrival and waits for the one after.
 func (w *world) arrive() {
-	arrivals := day.NewArrivals(w.s)
+	arrivals := scenario.NewArrivals(w.s)
 	methods := map[string]*settings.Method{}
 	for i := range w.s.Service.Methods {
 		methods[w.s.Service.Methods[i].Name] = &w.s.Service.Methods[i]
@@ -221,8 +221,8 @@
 		if !more {
 			return
 		}
-		w.at(w.start+turn.FromDuration(a.At), func() {
-			c := &client{w: w, a: a, Client: day.NewClient(w.s, methods[a.Mix.Method], a)}
+		w.at(w.start+eventloop.FromDuration(a.At), func() {
+			c := &client{w: w, a: a, Client: scenario.NewClient(w.s, methods[a.Mix.Method], a)}
 			c.try()
 			next()
 		})
@@ -237,9 +237,9 @@
 	if x == nil || !x.alive || x.model.Hangs() {
 		return 0, false, 0, false
 	}
-	free, loading = x.model.Stands(func(name string) bool { return ident.Function(name) == fn })
+	free, loading = x.model.Stands(func(name string) bool { return nameid.Function(name) == fn })
 	return free, loading, x.model.Jobs(), true
 }
 
 // since is a moment of the day.
-func (w *world) since() time.Duration { return turn.ToDuration(w.now - w.start) }
+func (w *world) since() time.Duration { return eventloop.ToDuration(w.now - w.start) }
--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"mallowlanding/internal/ident"
-	"mallowlanding/internal/terms"
+	"mallowlanding/internal/nameid"
+	"mallowlanding/internal/settingkeys"
 	"mallowlanding/router"
 )
 
@@ -30,8 +30,8 @@
 // BenchmarkWarm is the engine and the module alone: one RPC on a warm copy, two turns.
 func BenchmarkWarm(b *testing.B) {
 	e := New(Options{Now: 1e6, Log: func(string) {}, Settings: router.Settings{
-		terms.Methods: 1.0, terms.Item(terms.Methods, 0, terms.Effect): router.Idempotent,
-		terms.Join(terms.May, terms.CallOuts): 3.0}})
+		settingkeys.Methods: 1.0, settingkeys.Item(settingkeys.Methods, 0, settingkeys.Effect): router.Idempotent,
+		settingkeys.Join(settingkeys.May, settingkeys.CallOuts): 3.0}})
 	l := &prompt{e: e}
 	now := router.Time(1e6)
 	e.BeginTurn(now)
@@ -42,7 +42,7 @@
 	e.EndWorkerList()
 	e.SetLink("w", l)
 	e.EndTurn()
-	w, m := ident.Worker("w"), &Method{Name: "m", Effect: router.Idempotent, Deadline: 30000}
+	w, m := nameid.Worker("w"), &Method{Name: "m", Effect: router.Idempotent, Deadline: 30000}
 	b.ReportAllocs()
 	for range b.N {
 		now++
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -12,11 +12,11 @@
 	"slices"
 	"time"
 
-	"mallowlanding/internal/core"
-	"mallowlanding/internal/ident"
-	"mallowlanding/internal/leave"
-	"mallowlanding/internal/terms"
-	"mallowlanding/internal/turn"
+	"mallowlanding/internal/cancellation"
+	"mallowlanding/internal/eventloop"
+	"mallowlanding/internal/nameid"
+	"mallowlanding/internal/routing"
+	"mallowlanding/internal/settingkeys"
 	"mallowlanding/router"
 )
 
@@ -75,13 +75,13 @@
 	id       router.RPCID
 	client   Client
 	end      router.Time
-	deadline turn.Timer
+	deadline eventloop.Timer
 	calls    []callOut
 	out      int
 	closed   bool   // answered, or its client left
 	cause    string // what the last failed call-out told
-	leave    leave.RPC
-	callOff  turn.Timer
+	leave    cancellation.RPC
+	callOff  eventloop.Timer
 	place    router.MethodID
 
 	Method       *Method
@@ -117,21 +117,21 @@
 
 // The module forgets what nothing was heard of for ten minutes; names are kept for longer, since it goes by their ids.
 const (
-	forgetAfter = router.Time(20 * time.Minute / turn.Unit)
-	forgetLook  = router.Time(10 * time.Second / turn.Unit) // how often that is looked at
+	forgetAfter = router.Time(20 * time.Minute / eventloop.Unit)
+	forgetLook  = router.Time(10 * time.Second / eventloop.Unit) // how often that is looked at
 )
 
 type order struct {
 	worker  *worker
 	fn      router.FunctionID
 	at      router.Time
-	timeOut turn.Timer
+	timeOut eventloop.Timer
 }
 
 type check struct {
 	worker  *worker
 	at      router.Time
-	timeOut turn.Timer
+	timeOut eventloop.Timer
 }
 
 // Counts are an engine's sums since it began.
@@ -150,8 +150,8 @@
 
 // Engine runs one front end.
 type Engine struct {
-	timers  turn.Timers
-	core    *core.FrontEndRouter
+	timers  eventloop.Timers
+	core    *routing.FrontEndRouter
 	log     func(text string)
 	now     router.Time
 	margin  router.Time
@@ -169,7 +169,7 @@
 	counts  Counts
 	listen  func()
 	givenUp func(*RPC, router.Reason)
-	wanted  *leave.LoadDemand[OrderID]
+	wanted  *cancellation.LoadDemand[OrderID]
 	lists   uint64      // of workers, that came
 	whole   bool        // the last of them
 	forgot  router.Time // when it was last looked what may be forgotten
@@ -183,7 +183,7 @@
 	Now          router.Time
 	AnswerMargin router.Time                     // kept of each RPC's time for the answer's way to the client
 	Log          func(text string)               // the module's lines for those on call
-	NewRouter    core.Factory                    // nil: the router
+	NewRouter    routing.Factory                 // nil: the router
 	CancelWait   router.Time                     // how long workers have to tell what came of a call-off
 	Subscribe    func()                          // the module asks for changes of the list; nil: they come by themselves
 	OnGiveUp     func(p *RPC, why router.Reason) // the module gives an RPC up; nil: nobody wants to know
@@ -194,21 +194,21 @@
 	e := &Engine{log: o.Log, now: o.Now, margin: o.AnswerMargin, rpcs: map[router.RPCID]*RPC{},
 		workers: map[router.WorkerID]*worker{}, names: map[router.FunctionID]named{},
 		orders: map[OrderID]*order{}, checks: map[CheckID]*check{}, listen: o.Subscribe, givenUp: o.OnGiveUp,
-		wanted: leave.NewLoadDemand[OrderID](), within: o.CancelWait}
+		wanted: cancellation.NewLoadDemand[OrderID](), within: o.CancelWait}
 	if e.givenUp == nil {
 		e.givenUp = func(*RPC, router.Reason) {}
 	}
 	e.heed(o.Settings)
-	e.core = core.New(o.NewRouter, (*port)(e), o.Now, o.Seed, o.Settings)
+	e.core = routing.New(o.NewRouter, (*port)(e), o.Now, o.Seed, o.Settings)
 	return e
 }
 
 // heed reads what the engine itself needs of the module's settings.
 func (e *Engine) heed(s router.Settings) {
 	number := func(name string) float64 { v, _ := s[name].(float64); return v }
-	e.most = int(number(terms.Join(terms.May, terms.CallOuts)))
-	e.overlap, _ = s[terms.Join(terms.May, terms.Overlap)].(bool)
-	e.orderBy = router.Time(number(terms.Join(terms.Functions, terms.OrderTimeout)))
+	e.most = int(number(settingkeys.Join(settingkeys.May, settingkeys.CallOuts)))
+	e.overlap, _ = s[settingkeys.Join(settingkeys.May, settingkeys.Overlap)].(bool)
+	e.orderBy = router.Time(number(settingkeys.Join(settingkeys.Functions, settingkeys.OrderTimeout)))
 }
 
 // UpdateSettings takes new settings, as they are and as the module reads them; in a turn. Methods are all that there are, at their places; RPCs taken before are bound by
@@ -240,7 +240,7 @@
 		out[o.fn] = true
 	}
 	for _, p := range e.rpcs {
-		out[ident.Function(p.Function)] = true
+		out[nameid.Function(p.Function)] = true
 	}
 	maps.DeleteFunc(e.names, func(fn router.FunctionID, n named) bool { return !out[fn] && e.now-n.used >= forgetAfter })
 	maps.DeleteFunc(e.workers, func(_ router.WorkerID, w *worker) bool { return w.gone > 0 && e.now-w.gone >= forgetAfter })
@@ -295,10 +295,10 @@
 	token string, left router.Time, repeat bool, payload, blob []byte, client Client) *RPC {
 	for e.lastRPC++; e.rpcs[router.RPCID(e.lastRPC)] != nil; e.lastRPC++ {
 	}
-	id, fid := router.RPCID(e.lastRPC), ident.Function(function)
+	id, fid := router.RPCID(e.lastRPC), nameid.Function(function)
 	e.names[fid] = named{function, fn, e.now}
 	p := &RPC{e: e, id: id, client: client, end: e.now + max(left-e.margin, 0), Method: method, Function: function,
-		Spec: fn, Token: token, Payload: payload, Blob: blob, SoftDeadline: e.now + method.SoftDeadline, place: m, leave: leave.RPC{Effect: method.Effect, Group: method.Group}}
+		Spec: fn, Token: token, Payload: payload, Blob: blob, SoftDeadline: e.now + method.SoftDeadline, place: m, leave: cancellation.RPC{Effect: method.Effect, Group: method.Group}}
 	e.rpcs[id] = p
 	e.wanted.RPCOpened(fid)
 	e.counts.Taken++
@@ -310,13 +310,13 @@
 
 // IDCollision tells the name that already goes by the id of this one, where there is such a name.
 func (e *Engine) IDCollision(function string) (other string, meets bool) {
-	known, is := e.names[ident.Function(function)]
+	known, is := e.names[nameid.Function(function)]
 	return known.name, is && known.name != function
 }
 
 // LoadsHalted tells whether loads of a function are halted and no copy of it is believed to stand; see router.Router.
 func (e *Engine) LoadsHalted(function string) bool {
-	return e.core.LoadsHalted(ident.Function(function))
+	return e.core.LoadsHalted(nameid.Function(function))
 }
 
 // ClientLeft tells that the client is gone: nothing is owed any more. What is out is called off, and what it alone wanted.
@@ -358,7 +358,7 @@
 func (p *RPC) CallOuts() int { return len(p.calls) }
 
 // RetryHarmless tells whether a client that stops waiting while the RPC goes on may be told that a retry is harmless.
-func (p *RPC) RetryHarmless() bool { return p.leave.VerdictOnTimeout() == leave.Deny }
+func (p *RPC) RetryHarmless() bool { return p.leave.VerdictOnTimeout() == cancellation.Deny }
 
 // withdraw takes the client's wish back: the module makes no further call-out, workers hear that nobody waits.
 func (p *RPC) withdraw() {
@@ -373,7 +373,7 @@
 			c.worker.link.CancelCallOut(CallOutID(uint64(p.id)<<8 | uint64(n)))
 		}
 	}
-	for _, id := range e.wanted.RPCClosed(ident.Function(p.Function), true) {
+	for _, id := range e.wanted.RPCClosed(nameid.Function(p.Function), true) {
 		if o := e.orders[id]; o != nil && o.worker.link != nil {
 			o.worker.link.CancelLoadOrder(id)
 		}
@@ -381,12 +381,12 @@
 }
 
 // settle gives a cancelled RPC its answer.
-func (p *RPC) settle(v leave.Verdict) {
-	if p.closed || v == leave.Wait {
+func (p *RPC) settle(v cancellation.Verdict) {
+	if p.closed || v == cancellation.Wait {
 		return
 	}
 	p.close()
-	if v == leave.Deny {
+	if v == cancellation.Deny {
 		p.e.counts.Denied++
 		p.client.Denied(0)
 	} else {
@@ -447,7 +447,7 @@
 // close marks that nothing is owed any more.
 func (p *RPC) close() {
 	if p.closed = true; !p.leave.Cancelled() {
-		p.e.wanted.RPCClosed(ident.Function(p.Function), false)
+		p.e.wanted.RPCClosed(nameid.Function(p.Function), false)
 	}
 }
 
@@ -467,7 +467,7 @@
 }
 
 func (e *Engine) worker(name string) *worker {
-	id := ident.Worker(name)
+	id := nameid.Worker(name)
 	w := e.workers[id]
 	if w == nil {
 		w = &worker{id: id, name: name}
@@ -486,7 +486,7 @@
 // AddListedWorker is one entry. Started 0: long ago. A name that meets another's id is refused.
 func (e *Engine) AddListedWorker(name string, state router.Readiness, started router.Time, zone router.ZoneID,
 	cell router.CellID, kind router.KindID) error {
-	if w := e.workers[ident.Worker(name)]; w != nil && w.name != name {
+	if w := e.workers[nameid.Worker(name)]; w != nil && w.name != name {
 		return fmt.Errorf("worker %q has the id of worker %q: rename one of them", name, w.name)
 	}
 	w := e.worker(name)
@@ -565,7 +565,7 @@
 		}
 		wk.link.Send(id, p, left, by)
 		if limit > 0 && e.now+limit < p.end {
-			e.timers.Set(new(turn.Timer), e.now+limit, func(router.Time) {
+			e.timers.Set(new(eventloop.Timer), e.now+limit, func(router.Time) {
 				e.CallOutEnded(id, w, router.TimedOut, router.WarmthUnknown, 0, nil, nil, nil)
 			})
 		}
@@ -614,7 +614,7 @@
 func (pt *port) SetTimer(after router.Time, token uint64) {
 	e := (*Engine)(pt)
 	// never in the turn that asks for it
-	e.timers.Set(new(turn.Timer), e.now+max(after, 1), func(now router.Time) { e.core.TimerFired(now, token) })
+	e.timers.Set(new(eventloop.Timer), e.now+max(after, 1), func(now router.Time) { e.core.TimerFired(now, token) })
 }
 
 // Check implements router.Port.
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -6,8 +6,8 @@
 	"slices"
 	"testing"
 
-	"mallowlanding/internal/core"
-	"mallowlanding/internal/terms"
+	"mallowlanding/internal/routing"
+	"mallowlanding/internal/settingkeys"
 	"mallowlanding/router"
 )
 
@@ -25,7 +25,7 @@
 
 // Submit implements core.Module.
 func (m *script) Submit(_ router.Time, id router.RPCID, _ router.MethodID, _ router.CustomerID, _ router.FunctionID,
-	_ router.Time, _, _ float64, _ int, _ router.Time, _ bool) core.Handle {
+	_ router.Time, _, _ float64, _ int, _ router.Time, _ bool) routing.Handle {
 	m.port.Send(id, 1, 0, math.MaxInt64)
 	return &handle{m: m}
 }
@@ -110,7 +110,7 @@
 func rig(now router.Time) (e *Engine, m *script, link *notes) {
 	m, link = &script{}, &notes{}
 	e = New(Options{Settings: router.Settings{"may.call-outs": 3., "may.overlap": true}, Now: now, Log: func(string) {},
-		NewRouter: func(port router.Actions, _ router.Time, _ int64, _ router.Settings) core.Router {
+		NewRouter: func(port router.Actions, _ router.Time, _ int64, _ router.Settings) routing.Router {
 			m.port = port
 			return m
 		}})
@@ -231,8 +231,8 @@
 func TestGivenUpTellsWhy(t *testing.T) {
 	told := []router.Reason{}
 	e := New(Options{Now: 1e6, Log: func(string) {}, OnGiveUp: func(_ *RPC, why router.Reason) { told = append(told, why) },
-		Settings: router.Settings{terms.Methods: 1.0, terms.Item(terms.Methods, 0, terms.Effect): router.Idempotent,
-			terms.Join(terms.May, terms.CallOuts): 3.0}})
+		Settings: router.Settings{settingkeys.Methods: 1.0, settingkeys.Item(settingkeys.Methods, 0, settingkeys.Effect): router.Idempotent,
+			settingkeys.Join(settingkeys.May, settingkeys.CallOuts): 3.0}})
 	now := router.Time(1e6)
 	e.BeginTurn(now)
 	p := e.Submit(0, &Method{Name: "m", Effect: router.Idempotent, Deadline: 30000}, 0, "f", FunctionSpec{Lanes: 1}, "", 30000, false, nil, nil, idle{})
--- a/internal/turn/turn.go
+++ b/internal/eventloop/turn.go
@@ -1,9 +1,9 @@
-// Package turn gives state machines their turns: timers without a clock of their own, and a loop that hands one
+// Package eventloop gives state machines their turns: timers without a clock of their own, and a loop that hands one
 // goroutine all that came in since its last turn.
 //
 // A state machine that takes its time from Timers runs under any clock: Loop drives it by the real one, a
 // simulation by its own.
-package turn
+package eventloop
 
 import (
 	"container/heap"
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -16,7 +16,7 @@
 
 	"github.com/rs/zerolog"
 
-	"mallowlanding/internal/hop"
+	"mallowlanding/internal/httpconn"
 	"mallowlanding/router"
 )
 
@@ -82,7 +82,7 @@
 
 	mu      sync.Mutex
 	address string
-	conn    *hop.Conn
+	conn    *httpconn.Conn
 	again   bool // the ask that is out is given up for a new one
 }
 
@@ -171,7 +171,7 @@
 	}
 	if conn == nil {
 		var err error
-		if conn, err = hop.Dial(ctx, address, slackMin); err != nil {
+		if conn, err = httpconn.Dial(ctx, address, slackMin); err != nil {
 			return err
 		}
 		f.mu.Lock()
@@ -199,7 +199,7 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		f.slack = min(2*f.slack, slackMost)
 		f.lapse(time.Now(), began.Add(hold+waitClock))
-	case errors.Is(err, hop.ErrBadAnswer):
+	case errors.Is(err, httpconn.ErrBadAnswer):
 		f.lapse(time.Now(), time.Now().Add(breakClock))
 	case err == nil:
 		f.slack = slackMin
@@ -224,7 +224,7 @@
 
 // answered takes over an answer of the service at an address. Once another is followed it doesn't count, though it was
 // read whole: the new one tells it again.
-func (f *Feed) answered(address string, a hop.Answer, asked time.Time) error {
+func (f *Feed) answered(address string, a httpconn.Answer, asked time.Time) error {
 	switch {
 	case f.moved(address):
 		return errors.New("the service has moved")
@@ -241,7 +241,7 @@
 	return f.address != address
 }
 
-func (f *Feed) drop(conn *hop.Conn) {
+func (f *Feed) drop(conn *httpconn.Conn) {
 	conn.Close()
 	f.mu.Lock()
 	if f.conn == conn {
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -16,7 +16,7 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
-	"mallowlanding/internal/hop"
+	"mallowlanding/internal/httpconn"
 	"mallowlanding/router"
 )
 
@@ -298,7 +298,7 @@
 func TestAnswerReadAsItMoves(t *testing.T) {
 	told := 0
 	f := New("127.0.0.1:1", func([]Event, time.Time) { told++ }, noLapse, zerolog.Nop())
-	whole := hop.Answer{Status: http.StatusOK, Body: []byte(answer(entry(1, true, "a=active")))}
+	whole := httpconn.Answer{Status: http.StatusOK, Body: []byte(answer(entry(1, true, "a=active")))}
 	f.SetAddress("127.0.0.1:2")
 	if err := f.answered("127.0.0.1:1", whole, time.Now()); err == nil || told > 0 || f.pos > 0 {
 		t.Errorf("%v, told %d times, at %d", err, told, f.pos)
@@ -339,7 +339,7 @@
 			f := New("127.0.0.1:1", func(_ []Event, confirmed time.Time) { asOf = confirmed }, noLapse, zerolog.Nop())
 			for _, body := range c.answers {
 				asOf = time.Time{}
-				_ = f.answered("127.0.0.1:1", hop.Answer{Status: http.StatusOK, Body: []byte(body)}, asked)
+				_ = f.answered("127.0.0.1:1", httpconn.Answer{Status: http.StatusOK, Body: []byte(body)}, asked)
 			}
 			if asOf.IsZero() == c.confirmed {
 				t.Errorf("confirmed as of %v", asOf)
--- a/internal/gateway/configured.go
+++ b/internal/gateway/configured.go
@@ -15,15 +15,15 @@
 	"golang.org/x/sync/errgroup"
 
 	"mallowlanding/internal/clients"
+	"mallowlanding/internal/configclient"
 	"mallowlanding/internal/control/wire"
+	"mallowlanding/internal/dispatch"
 	"mallowlanding/internal/engine"
-	"mallowlanding/internal/follow"
-	"mallowlanding/internal/front"
+	"mallowlanding/internal/eventloop"
 	"mallowlanding/internal/kserve"
 	"mallowlanding/internal/lastgood"
+	"mallowlanding/internal/rosterwatch"
 	"mallowlanding/internal/settings"
-	"mallowlanding/internal/steer"
-	"mallowlanding/internal/turn"
 	"mallowlanding/router"
 )
 
@@ -34,18 +34,18 @@
 type configured struct {
 	own   *settings.FrontEnd // as it was started
 	now   atomic.Pointer[settings.FrontEnd]
-	loop  *turn.Loop
+	loop  *eventloop.Loop
 	log   zerolog.Logger
-	steer *steer.Client // nil: no control service
-	took  atomic.Int64  // ns of the turn that took the last version over
+	steer *configclient.Client // nil: no control service
+	took  atomic.Int64         // ns of the turn that took the last version over
 
 	booted *settings.Configuration // of the kept version; nil: none
 
 	endSteer func()
 
 	e       *engine.Engine
-	desk    *front.Dispatcher
-	fo      *follow.Watcher
+	desk    *dispatch.Dispatcher
+	fo      *rosterwatch.Watcher
 	srv     *clients.Server
 	ks      *kserve.Server
 	clients context.Context // ends with the clients' side
@@ -57,14 +57,14 @@
 }
 
 // newConfigured begins with the kept version, where there is a good one that fits, else with the front end's own settings.
-func newConfigured(own *settings.FrontEnd, loop *turn.Loop, log zerolog.Logger) *configured {
+func newConfigured(own *settings.FrontEnd, loop *eventloop.Loop, log zerolog.Logger) *configured {
 	c := &configured{own: own, loop: loop, log: log, listeners: map[string]net.Listener{}}
 	c.now.Store(own)
 	if own.Control == nil {
 		return c
 	}
 	o := c.steering()
-	b, ok := steer.LoadInitial(o)
+	b, ok := configclient.LoadInitial(o)
 	if ok {
 		conf, next, err := c.read(b.Saved.Version, b.Saved.Text)
 		if err == nil {
@@ -73,19 +73,19 @@
 			log.Info().Uint64("version", b.Saved.Version).Dur("age", time.Since(b.Saved.SavedAt)).Msg("begins with the kept configuration")
 		} else {
 			log.Warn().Err(err).Uint64("version", b.Saved.Version).Msg("the kept configuration does not fit these settings: begins without")
-			b = steer.Initial{Source: "own settings"}
+			b = configclient.Initial{Source: "own settings"}
 		}
 	} else {
 		log.Info().Msg("no kept configuration: begins with its own settings")
 	}
-	c.steer = steer.New(o, b)
+	c.steer = configclient.New(o, b)
 	return c
 }
 
-func (c *configured) steering() steer.Options {
+func (c *configured) steering() configclient.Options {
 	at := c.own.Control
-	return steer.Options{Name: c.own.Name, Sockets: strings.Fields(at.Sockets), Store: lastgood.Store{FS: lastgood.Disk{}, Path: at.SavePath},
-		RedialMin: turn.ToDuration(at.RedialMin), RedialMax: turn.ToDuration(at.RedialMax), ReportInterval: turn.ToDuration(at.ReportInterval),
+	return configclient.Options{Name: c.own.Name, Sockets: strings.Fields(at.Sockets), Store: lastgood.Store{FS: lastgood.Disk{}, Path: at.SavePath},
+		RedialMin: eventloop.ToDuration(at.RedialMin), RedialMax: eventloop.ToDuration(at.RedialMax), ReportInterval: eventloop.ToDuration(at.ReportInterval),
 		Counters: c.figures, Check: c.check, Log: c.log}
 }
 
@@ -101,7 +101,7 @@
 
 // parts names what changes with a version, and follows the control service from now on.
 func (c *configured) parts(rest, clientSide context.Context, restGroup, frontGroup *errgroup.Group, e *engine.Engine,
-	desk *front.Dispatcher, fo *follow.Watcher, srv *clients.Server, ks *kserve.Server) {
+	desk *dispatch.Dispatcher, fo *rosterwatch.Watcher, srv *clients.Server, ks *kserve.Server) {
 	c.e, c.desk, c.fo, c.srv, c.ks, c.clients, c.group = e, desk, fo, srv, ks, clientSide, frontGroup
 	if c.steer == nil {
 		return
@@ -178,8 +178,8 @@
 }
 
 // following are the follower's options under a configuration; nil: none.
-func (c *configured) following(f *settings.FrontEnd, conf *settings.Configuration) follow.Options {
-	o := follow.Options{FrontEnd: f.Name, Sockets: []string{f.Roster.Socket}, Cache: f.Roster.Cache,
+func (c *configured) following(f *settings.FrontEnd, conf *settings.Configuration) rosterwatch.Options {
+	o := rosterwatch.Options{FrontEnd: f.Name, Sockets: []string{f.Roster.Socket}, Cache: f.Roster.Cache,
 		Zone: f.Service.ZoneID, Cell: f.Service.CellID, Kind: f.Service.KindID, Log: c.log}
 	if conf == nil {
 		return o
@@ -192,7 +192,7 @@
 	}
 	for _, g := range conf.Groups {
 		for _, w := range g.Workers {
-			o.Static = append(o.Static, follow.StaticWorker{Name: w.Name, Socket: w.Socket, Zone: g.Zone, Cell: g.Cell, Kind: g.Kind})
+			o.Static = append(o.Static, rosterwatch.StaticWorker{Name: w.Name, Socket: w.Socket, Zone: g.Zone, Cell: g.Cell, Kind: g.Kind})
 		}
 	}
 	return o
@@ -219,7 +219,7 @@
 
 // check holds a version against the schema, this front end's own settings, and what it knows of workers, and opens its
 // sockets: what can fail fails here.
-func (c *configured) check(version uint64, text string) (steer.Change, error) {
+func (c *configured) check(version uint64, text string) (configclient.Change, error) {
 	conf, next, err := c.read(version, text)
 	if err != nil {
 		return nil, err
@@ -276,7 +276,7 @@
 	if c.ks != nil {
 		models = modelsOf(next)
 	}
-	prepared, service := router.ParseSettings(module), front.NewService(methods, customers, function)
+	prepared, service := router.ParseSettings(module), dispatch.NewService(methods, customers, function)
 	done := make(chan struct{})
 	if !c.loop.Post(func() {
 		begin := time.Now()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -16,16 +16,16 @@
 	"golang.org/x/sync/errgroup"
 
 	"mallowlanding/internal/access"
+	"mallowlanding/internal/certs"
 	"mallowlanding/internal/clients"
+	"mallowlanding/internal/dispatch"
 	"mallowlanding/internal/engine"
-	"mallowlanding/internal/follow"
-	"mallowlanding/internal/front"
+	"mallowlanding/internal/eventloop"
 	"mallowlanding/internal/handover"
-	"mallowlanding/internal/keys"
 	"mallowlanding/internal/kserve"
-	"mallowlanding/internal/links"
+	"mallowlanding/internal/rosterwatch"
 	"mallowlanding/internal/settings"
-	"mallowlanding/internal/turn"
+	"mallowlanding/internal/workerlink"
 	"mallowlanding/router"
 )
 
@@ -38,8 +38,8 @@
 // machine is an engine whose turns end with what they made going out.
 type machine struct {
 	*engine.Engine
-	links   *links.Set
-	desk    *front.Dispatcher
+	links   *workerlink.Set
+	desk    *dispatch.Dispatcher
 	clients *clients.Server
 }
 
@@ -134,7 +134,7 @@
 
 func serve(ctx context.Context, own *settings.FrontEnd, log zerolog.Logger, listener *net.UnixListener,
 	more []handover.Listener, confirm func() error, ready func(), o OutputHooks) error {
-	loop := turn.NewLoop()
+	loop := eventloop.NewLoop()
 	cf := newConfigured(own, loop, log)
 	f := cf.now.Load()
 	e := engine.New(engine.Options{Settings: f.RouterSettings(), Seed: f.Seed, Now: loop.Now(), AnswerMargin: f.Clients.Margin,
@@ -149,17 +149,17 @@
 	loopCtx, endLoop := context.WithCancel(context.Background())
 	defer endLoop()
 
-	ls := links.New(rest, loop, e, links.Options{FrontEnd: f.Name,
-		ConnectTimeout: turn.ToDuration(f.Service.CallOuts.ConnectTimeOut), ValueBytes: f.Workers.ValueBytes,
-		QueuedBytes: f.Workers.SendBytes, RedialMin: turn.ToDuration(f.Workers.RedialMin),
-		RedialMax: turn.ToDuration(f.Workers.RedialMax), WrapLink: o.Link, Log: log})
-	fo := follow.New(loop, e, ls, cf.following(f, cf.booted))
-	desk := front.New(e, front.Options{Methods: f.Service.EngineMethods(), Customers: f.Service.CustomerNames(),
+	ls := workerlink.New(rest, loop, e, workerlink.Options{FrontEnd: f.Name,
+		ConnectTimeout: eventloop.ToDuration(f.Service.CallOuts.ConnectTimeOut), ValueBytes: f.Workers.ValueBytes,
+		QueuedBytes: f.Workers.SendBytes, RedialMin: eventloop.ToDuration(f.Workers.RedialMin),
+		RedialMax: eventloop.ToDuration(f.Workers.RedialMax), WrapLink: o.Link, Log: log})
+	fo := rosterwatch.New(loop, e, ls, cf.following(f, cf.booted))
+	desk := dispatch.New(e, dispatch.Options{Methods: f.Service.EngineMethods(), Customers: f.Service.CustomerNames(),
 		FunctionSpec: f.Service.FunctionFor(), AnswerMargin: f.Clients.Margin, Limits: f.LimitSettings(), WrapClient: o.Client})
 	srv := clients.New(loop, desk, clients.Options{
 		Limits: clients.Limits{Connections: f.Clients.Connections, OpenRPCs: f.Clients.Open,
 			ValueBytes: f.Clients.ValueBytes, AnswerBytes: f.Clients.AnswerBytes,
-			WriteTimeout: turn.ToDuration(f.Clients.WriteTimeOut)},
+			WriteTimeout: eventloop.ToDuration(f.Clients.WriteTimeOut)},
 		RewriteAnswer: o.Answer, Allow: allow(f), Status: func() []byte { return status(f, e, desk, cf) }, Log: log})
 
 	var loopGroup, restGroup, frontGroup errgroup.Group
@@ -206,7 +206,7 @@
 	default:
 		listener.Close()
 	}
-	within := turn.ToDuration(cf.now.Load().Stop.Within)
+	within := eventloop.ToDuration(cf.now.Load().Stop.Within)
 	deadline := time.After(within)
 	open := make(chan int, 1)
 	left := -1
@@ -257,8 +257,8 @@
 }
 
 // serveKServe runs the second front, where the settings have one.
-func serveKServe(ctx context.Context, taken []handover.Listener, f *settings.FrontEnd, rest, group *errgroup.Group, loop *turn.Loop,
-	desk *front.Dispatcher, e *engine.Engine, fo *follow.Watcher, failed chan<- error, log zerolog.Logger) (*kserve.Server,
+func serveKServe(ctx context.Context, taken []handover.Listener, f *settings.FrontEnd, rest, group *errgroup.Group, loop *eventloop.Loop,
+	desk *dispatch.Dispatcher, e *engine.Engine, fo *rosterwatch.Watcher, failed chan<- error, log zerolog.Logger) (*kserve.Server,
 	[]handover.Listener, error) {
 	k := f.KServe
 	if k == nil {
@@ -268,17 +268,17 @@
 		CustomerHeader: k.CustomerHeader, TokenHeader: k.TokenHeader, Ready: fo.Ready, Halted: e.LoadsHalted, Log: log}
 	o.Models = modelsOf(f)
 	if k.TLS != nil {
-		store, err := keys.Open(keys.Files{Cert: k.TLS.Cert, Key: k.TLS.Key, ClientCA: k.TLS.ClientCA}, log)
+		store, err := certs.Open(certs.Files{Cert: k.TLS.Cert, Key: k.TLS.Key, ClientCA: k.TLS.ClientCA}, log)
 		if err != nil {
 			return nil, nil, k.TLS.Errorf("%v", err)
 		}
 		rest.Go(func() error {
-			store.Watch(ctx, turn.ToDuration(k.TLS.Reload), time.Duration(k.TLS.WarnDays*24*float64(time.Hour)))
+			store.Watch(ctx, eventloop.ToDuration(k.TLS.Reload), time.Duration(k.TLS.WarnDays*24*float64(time.Hour)))
 			return nil
 		})
 		o.Keys = store
 		for _, c := range k.TLS.Clients {
-			o.Clients = append(o.Clients, keys.Client{Name: c.Name, Customer: c.Customer, Methods: strings.Fields(c.Methods)})
+			o.Clients = append(o.Clients, certs.Client{Name: c.Name, Customer: c.Customer, Methods: strings.Fields(c.Methods)})
 		}
 	}
 	s := kserve.New(loop, desk, o)
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -8,10 +8,10 @@
 
 	"github.com/go-json-experiment/json"
 
+	"mallowlanding/internal/configclient"
+	"mallowlanding/internal/dispatch"
 	"mallowlanding/internal/engine"
-	"mallowlanding/internal/front"
 	"mallowlanding/internal/settings"
-	"mallowlanding/internal/steer"
 )
 
 // Status is what a front end tells of itself over its socket (rpc.status).
@@ -28,7 +28,7 @@
 
 // Config is where a front end's configuration stands.
 type Config struct {
-	steer.Status
+	configclient.Status
 	AppliedUs float64 `json:"applied_us"` // how long the turn stood that took the last version over
 }
 
@@ -43,7 +43,7 @@
 }
 
 // status is told in a turn.
-func status(f *settings.FrontEnd, e *engine.Engine, desk *front.Dispatcher, cf *configured) []byte {
+func status(f *settings.FrontEnd, e *engine.Engine, desk *dispatch.Dispatcher, cf *configured) []byte {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	s := Status{Name: f.Name, Number: f.Number, Of: f.Of, Counts: e.Counts(), Waiting: desk.Waiting(), Leaving: desk.Draining(),
--- a/internal/hop/hop.go
+++ b/internal/httpconn/hop.go
@@ -1,7 +1,7 @@
-// Package hop exchanges one HTTP/1.1 message for its answer on a connection of our own. It never asks twice by itself
+// Package httpconn exchanges one HTTP/1.1 message for its answer on a connection of our own. It never asks twice by itself
 // and tells whether what was asked left whole: net/http's Transport hides both, and a repeat that nobody decided breaks
 // the rule that no effect happens twice. Heads and bodies are bounded.
-package hop
+package httpconn
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 	"syscall"
 	"time"
 
-	"mallowlanding/internal/sock"
+	"mallowlanding/internal/sockio"
 )
 
 // Bounds of an answer.
@@ -68,7 +68,7 @@
 // Reusable tells whether the connection may be used again: it stands, and nothing came on it that nobody asked for. It
 // doesn't wait.
 func (c *Conn) Reusable() bool {
-	return c.in.Buffered() == 0 && sock.IsIdle(c.raw)
+	return c.in.Buffered() == 0 && sockio.IsIdle(c.raw)
 }
 
 // WriteNow writes what the socket takes of a message at once and tells how many bytes that were. It doesn't wait, so that
@@ -77,7 +77,7 @@
 	if err := c.nc.SetDeadline(by); err != nil {
 		return 0, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	if n, err = sock.TryWrite(c.raw, message); err != nil {
+	if n, err = sockio.TryWrite(c.raw, message); err != nil {
 		return 0, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	return n, nil
--- a/internal/hop/hop_test.go
+++ b/internal/httpconn/hop_test.go
@@ -1,4 +1,4 @@
-package hop
+package httpconn
 
 import (
 	"context"
--- a/internal/httplink/httplink.go
+++ b/internal/httplink/httplink.go
@@ -25,9 +25,9 @@
 	"github.com/rs/zerolog"
 
 	"mallowlanding/internal/engine"
-	"mallowlanding/internal/hop"
-	"mallowlanding/internal/site"
-	"mallowlanding/internal/turn"
+	"mallowlanding/internal/eventloop"
+	"mallowlanding/internal/httpconn"
+	"mallowlanding/internal/operatorsettings"
 	"mallowlanding/router"
 )
 
@@ -56,19 +56,19 @@
 
 // Dialer makes connections to workers.
 type Dialer interface {
-	Dial(ctx context.Context, address string, within time.Duration) (*hop.Conn, error)
+	Dial(ctx context.Context, address string, within time.Duration) (*httpconn.Conn, error)
 }
 
 type dialer struct{}
 
-func (dialer) Dial(ctx context.Context, address string, within time.Duration) (*hop.Conn, error) {
-	return hop.Dial(ctx, address, within)
+func (dialer) Dial(ctx context.Context, address string, within time.Duration) (*httpconn.Conn, error) {
+	return httpconn.Dial(ctx, address, within)
 }
 
 // LinkSet has a front end's links. Its methods are for turns of the loop alone.
 type LinkSet struct {
 	o      Options
-	loop   *turn.Loop
+	loop   *eventloop.Loop
 	engine *engine.Engine
 	links  map[string]*Link
 	conns  int // connections that stand or are being made
@@ -79,7 +79,7 @@
 }
 
 // New makes a set.
-func New(loop *turn.Loop, e *engine.Engine, o Options) *LinkSet {
+func New(loop *eventloop.Loop, e *engine.Engine, o Options) *LinkSet {
 	s := &LinkSet{loop: loop, engine: e, links: map[string]*Link{}}
 	s.UpdateSettings(o)
 	return s
@@ -98,7 +98,7 @@
 }
 
 type idle struct {
-	conn  *hop.Conn
+	conn  *httpconn.Conn
 	since time.Time
 }
 
@@ -166,7 +166,7 @@
 // meanwhile. Any goroutine may ask.
 func (s *LinkSet) paused(now router.Time, most time.Duration) bool {
 	last := router.Time(s.lastTurn.Load())
-	return most > 0 && last > 0 && now-last > turn.FromDuration(most)
+	return most > 0 && last > 0 && now-last > eventloop.FromDuration(most)
 }
 
 // Close closes all idle connections: the front end ends.
@@ -190,13 +190,13 @@
 	l.idle = kept
 }
 
-func (l *Link) drop(c *hop.Conn) {
+func (l *Link) drop(c *httpconn.Conn) {
 	c.Close()
 	l.s.conns--
 }
 
 // take gives an idle connection that may be used again; nil: there is none.
-func (l *Link) take() *hop.Conn {
+func (l *Link) take() *httpconn.Conn {
 	now := time.Now()
 	for i := len(l.idle) - 1; i >= 0; i-- {
 		c := l.idle[i]
@@ -245,14 +245,14 @@
 
 	// The last question before the first byte goes out, and the answers to it: see begin.
 	mu    sync.Mutex
-	conn  *hop.Conn
+	conn  *httpconn.Conn
 	begun bool // a first byte was offered
 	over  bool // nobody waits for it any more, or it must not begin
 }
 
 // end is how an exchange ended; Err nil: with an answer.
 type end struct {
-	hop.Answer
+	httpconn.Answer
 	err   error
 	local bool // it never left: for lack of descriptors here, because the worker is gone, or nobody waited any more
 }
@@ -265,7 +265,7 @@
 	conn := l.take()
 	if conn == nil {
 		if l.gone || !l.s.room() {
-			l.s.loop.Post(func() { ended(end{err: hop.ErrNotSent, local: true}) })
+			l.s.loop.Post(func() { ended(end{err: httpconn.ErrNotSent, local: true}) })
 			return x
 		}
 		l.s.conns++
@@ -276,7 +276,7 @@
 }
 
 // run has the exchange. What did not leave whole is sent on a new connection, a few times.
-func (x *exchange) run(conn *hop.Conn) {
+func (x *exchange) run(conn *httpconn.Conn) {
 	began := time.Now()
 	a, conn, again, err := x.try(conn)
 	e := end{Answer: a, err: err}
@@ -313,7 +313,7 @@
 	errLapsed   = errors.New("too late to begin: nothing proves any more that the worker does not drain")
 )
 
-func (x *exchange) try(conn *hop.Conn) (a hop.Answer, used *hop.Conn, again bool, err error) {
+func (x *exchange) try(conn *httpconn.Conn) (a httpconn.Answer, used *httpconn.Conn, again bool, err error) {
 	for left := connsMost; ; left-- {
 		if conn == nil {
 			conn, err = x.o.Dialer.Dial(x.ctx, x.l.address, min(x.o.ConnectTimeout, time.Until(x.by)))
@@ -324,14 +324,14 @@
 				err = errors.Join(errUnwanted, err)
 			}
 			if err != nil {
-				return a, nil, false, errors.Join(hop.ErrNotSent, err)
+				return a, nil, false, errors.Join(httpconn.ErrNotSent, err)
 			}
 		}
 		var n int
 		if n, err = x.begin(conn); err == nil {
 			a, again, err = conn.Exchange(x.message[n:], x.by, bodyMost)
 		}
-		if !errors.Is(err, hop.ErrNotSent) || errors.Is(err, errUnwanted) || errors.Is(err, errLapsed) || left == 0 {
+		if !errors.Is(err, httpconn.ErrNotSent) || errors.Is(err, errUnwanted) || errors.Is(err, errLapsed) || left == 0 {
 			return a, conn, again, err
 		}
 		conn.Close()
@@ -343,16 +343,16 @@
 // worker still wanted, its client still there, its time not up. Unwant and giving up take the same lock: either they come
 // first and nothing is sent, or the message had begun before them. It guards against connections that come up late, when
 // the worker drains or the client has gone meanwhile.
-func (x *exchange) begin(c *hop.Conn) (n int, err error) {
+func (x *exchange) begin(c *httpconn.Conn) (n int, err error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.conn = c
 	if x.over || !time.Now().Before(x.by) {
-		return 0, errors.Join(hop.ErrNotSent, errUnwanted)
+		return 0, errors.Join(httpconn.ErrNotSent, errUnwanted)
 	}
 	// Here and not where it was decided: a connection may come up late, and the process may have stood still since.
 	if x.lapsed() {
-		return 0, errors.Join(hop.ErrNotSent, errLapsed)
+		return 0, errors.Join(httpconn.ErrNotSent, errLapsed)
 	}
 	x.begun = true
 	return c.WriteNow(x.message, x.by)
@@ -392,11 +392,11 @@
 	switch {
 	case errors.Is(e.err, errLapsed):
 		return router.NotSent
-	case e.local, errors.Is(e.err, hop.ErrNotSent) && errors.Is(e.err, syscall.ECONNRESET): // connections came up, and broke
+	case e.local, errors.Is(e.err, httpconn.ErrNotSent) && errors.Is(e.err, syscall.ECONNRESET): // connections came up, and broke
 		return router.Full
-	case errors.Is(e.err, hop.ErrNotSent):
+	case errors.Is(e.err, httpconn.ErrNotSent):
 		return router.ConnectFailed
-	case errors.Is(e.err, hop.ErrBadAnswer): // it tells of the way, not of the function; it has run
+	case errors.Is(e.err, httpconn.ErrBadAnswer): // it tells of the way, not of the function; it has run
 		return router.Reset
 	case errors.As(e.err, &op) && op.Timeout():
 		return router.TimedOut
@@ -427,7 +427,7 @@
 		b = strconv.AppendInt(append(b, "\r\nContent-Length: "...), int64(len(p.Blob)), 10)
 	}
 	b = append(append(b, "\r\n\r\n"...), p.Blob...)
-	l.out[id] = l.start(p.ClientRPCID, b, turn.ToDuration(left), by, func(e end) {
+	l.out[id] = l.start(p.ClientRPCID, b, eventloop.ToDuration(left), by, func(e end) {
 		delete(l.out, id)
 		if e.err != nil {
 			l.s.engine.CallOutEnded(id, l.id, e.outcome(), router.WarmthUnknown, 0, nil, []byte(e.err.Error()), nil)
@@ -489,7 +489,7 @@
 		name, value, _ := strings.Cut(field, ":")
 		v, err := strconv.ParseFloat(value, 64)
 		for i, known := range s.o.ReportValues {
-			if err == nil && known == site.Translate(name) && !math.IsNaN(v) && !math.IsInf(v, 0) {
+			if err == nil && known == operatorsettings.Translate(name) && !math.IsNaN(v) && !math.IsInf(v, 0) {
 				out[i] = v
 				found++
 			}
--- a/internal/httplink/httplink_test.go
+++ b/internal/httplink/httplink_test.go
@@ -14,8 +14,8 @@
 	"github.com/rs/zerolog"
 
 	"mallowlanding/internal/engine"
-	"mallowlanding/internal/hop"
-	"mallowlanding/internal/turn"
+	"mallowlanding/internal/eventloop"
+	"mallowlanding/internal/httpconn"
 	"mallowlanding/router"
 )
 
@@ -32,7 +32,7 @@
 type rig struct {
 	t    *testing.T
 	s    *LinkSet
-	loop *turn.Loop
+	loop *eventloop.Loop
 	l    net.Listener
 	came chan string // a message's verb and path; "" for a connection that ended with nothing on it
 	up   chan bool   // one waits at the gate
@@ -44,7 +44,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, l: l, loop: turn.NewLoop(), came: make(chan string, 16), up: make(chan bool, 16), gate: make(chan bool, 16)}
+	r := &rig{t: t, l: l, loop: eventloop.NewLoop(), came: make(chan string, 16), up: make(chan bool, 16), gate: make(chan bool, 16)}
 	go func() {
 		for {
 			nc, err := l.Accept()
@@ -79,8 +79,8 @@
 }
 
 // Dial implements Dialer: the connection is up, and the front end hears of it once the gate opens.
-func (r *rig) Dial(ctx context.Context, address string, within time.Duration) (*hop.Conn, error) {
-	conn, err := hop.Dial(context.WithoutCancel(ctx), address, within)
+func (r *rig) Dial(ctx context.Context, address string, within time.Duration) (*httpconn.Conn, error) {
+	conn, err := httpconn.Dial(context.WithoutCancel(ctx), address, within)
 	r.up <- true
 	<-r.gate
 	return conn, err
@@ -183,7 +183,7 @@
 	r := newRig(t)
 	r.turn(func() {
 		o := r.s.o
-		o.Dialer = dialFunc(func(ctx context.Context, _ string, _ time.Duration) (*hop.Conn, error) {
+		o.Dialer = dialFunc(func(ctx context.Context, _ string, _ time.Duration) (*httpconn.Conn, error) {
 			r.up <- true
 			<-ctx.Done()
 			return nil, ctx.Err()
@@ -197,10 +197,10 @@
 	r.counted(0)
 }
 
-type dialFunc func(ctx context.Context, address string, within time.Duration) (*hop.Conn, error)
+type dialFunc func(ctx context.Context, address string, within time.Duration) (*httpconn.Conn, error)
 
 // Dial implements Dialer.
-func (f dialFunc) Dial(ctx context.Context, address string, within time.Duration) (*hop.Conn, error) {
+func (f dialFunc) Dial(ctx context.Context, address string, within time.Duration) (*httpconn.Conn, error) {
 	return f(ctx, address, within)
 }
 
@@ -227,7 +227,7 @@
 	r := newRig(t)
 	_, ended := r.message(patience)
 	r.goes(ended)
-	var was *hop.Conn
+	var was *httpconn.Conn
 	r.turn(func() {
 		l := r.s.links["w"]
 		was = l.idle[0].conn
@@ -270,9 +270,9 @@
 		e    end
 		want router.Outcome
 	}{
-		{end{err: hop.ErrNotSent, local: true}, router.Full},
-		{end{err: errors.Join(hop.ErrNotSent, context.DeadlineExceeded)}, router.ConnectFailed},
-		{end{err: hop.ErrBadAnswer}, router.Reset},
+		{end{err: httpconn.ErrNotSent, local: true}, router.Full},
+		{end{err: errors.Join(httpconn.ErrNotSent, context.DeadlineExceeded)}, router.ConnectFailed},
+		{end{err: httpconn.ErrBadAnswer}, router.Reset},
 		{end{err: io.EOF}, router.Reset},
 		{end{err: net.ErrClosed}, router.Cancelled},
 	} {
@@ -294,13 +294,13 @@
 		})
 		return ended
 	}
-	late := begin(r.loop.Now() + turn.FromDuration(20*time.Millisecond))
+	late := begin(r.loop.Now() + eventloop.FromDuration(20*time.Millisecond))
 	<-r.up
 	time.Sleep(30 * time.Millisecond)
 	r.gate <- true
 	r.ends(late, router.NotSent)
 	r.sees("")
-	inTime := begin(r.loop.Now() + turn.FromDuration(patience))
+	inTime := begin(r.loop.Now() + eventloop.FromDuration(patience))
 	<-r.up
 	r.gate <- true
 	r.sees("PUT /v2/q/f/1")
@@ -321,7 +321,7 @@
 		})
 		ended := make(chan end, 1)
 		r.turn(func() {
-			r.s.links["w"].start("message", []byte("PUT /v2/q/f/1 HTTP/1.1\r\nHost: w\r\n\r\n"), patience, r.loop.Now()+turn.FromDuration(patience),
+			r.s.links["w"].start("message", []byte("PUT /v2/q/f/1 HTTP/1.1\r\nHost: w\r\n\r\n"), patience, r.loop.Now()+eventloop.FromDuration(patience),
 				func(e end) { ended <- e })
 		})
 		<-r.up
--- a/internal/kserve/grpc.go
+++ b/internal/kserve/grpc.go
@@ -23,11 +23,11 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/durationpb"
 
-	"mallowlanding/internal/front"
-	"mallowlanding/internal/keys"
+	"mallowlanding/internal/certs"
+	"mallowlanding/internal/dispatch"
+	"mallowlanding/internal/eventloop"
 	"mallowlanding/internal/kserve/oip"
 	"mallowlanding/internal/tensor"
-	"mallowlanding/internal/turn"
 )
 
 // grpcFront serves the protocol's gRPC form for a Server.
@@ -128,7 +128,7 @@
 	if err != nil {
 		return nil, status.Error(codes.NotFound, err.Error())
 	}
-	p := front.Params{Method: m.Method, Function: m.Function, TimeoutMS: -1}
+	p := dispatch.Params{Method: m.Method, Function: m.Function, TimeoutMS: -1}
 	if deadline, has := ctx.Deadline(); has {
 		p.TimeoutMS = max(0, float64(time.Until(deadline))/float64(time.Millisecond))
 	}
@@ -153,7 +153,7 @@
 			state = &info.State
 		}
 	}
-	client, err := keys.FindClient(s.o.Clients, state)
+	client, err := certs.FindClient(s.o.Clients, state)
 	if err == nil {
 		err = client.Authorize(s.desk.MethodAt(m.Method).Name, &p.Customer)
 	}
@@ -181,7 +181,7 @@
 	switch o.kind {
 	case isDenied:
 		st := status.New(codes.Unavailable, o.message)
-		info := &errdetails.RetryInfo{RetryDelay: durationpb.New(turn.ToDuration(o.comeBack))}
+		info := &errdetails.RetryInfo{RetryDelay: durationpb.New(eventloop.ToDuration(o.comeBack))}
 		if with, err := st.WithDetails(info); err == nil {
 			st = with
 		}
--- a/internal/kserve/http.go
+++ b/internal/kserve/http.go
@@ -19,12 +19,12 @@
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/credentials"
 
-	"mallowlanding/internal/front"
+	"mallowlanding/internal/admission"
+	"mallowlanding/internal/certs"
+	"mallowlanding/internal/dispatch"
+	"mallowlanding/internal/eventloop"
 	"mallowlanding/internal/jsonrpc"
-	"mallowlanding/internal/keys"
-	"mallowlanding/internal/limits"
 	"mallowlanding/internal/tensor"
-	"mallowlanding/internal/turn"
 	"mallowlanding/router"
 )
 
@@ -48,8 +48,8 @@
 	Models                                  []Model
 	BodyBytes                               int64 // a larger body is refused before it is read
 	TimeHeader, CustomerHeader, TokenHeader string
-	Keys                                    *keys.Store // of ServeTLS and ServeGRPCTLS; nil: they are not used
-	Clients                                 []keys.Client
+	Keys                                    *certs.Store // of ServeTLS and ServeGRPCTLS; nil: they are not used
+	Clients                                 []certs.Client
 	Ready                                   func() bool                // in a turn: RPCs are taken, and somebody could run them
 	Halted                                  func(function string) bool // in a turn: loads of it are halted, and no copy stands
 	Log                                     zerolog.Logger
@@ -58,8 +58,8 @@
 // Server answers the protocol's HTTP paths.
 type Server struct {
 	o      Options
-	loop   *turn.Loop
-	desk   *front.Dispatcher
+	loop   *eventloop.Loop
+	desk   *dispatch.Dispatcher
 	models atomic.Pointer[map[string][]*Model] // versions of each, in their order
 	http   http.Server
 	grpc   []*grpc.Server // plain, and with TLS where there are keys
@@ -70,13 +70,13 @@
 
 // peer is one HTTP connection's place at the desk; its fields are the loop's.
 type peer struct {
-	conn *front.Conn
+	conn *dispatch.Conn
 }
 
 type connKey struct{}
 
 // New makes a server for a desk that loop drives.
-func New(loop *turn.Loop, d *front.Dispatcher, o Options) *Server {
+func New(loop *eventloop.Loop, d *dispatch.Dispatcher, o Options) *Server {
 	s := &Server{o: o, loop: loop, desk: d, conns: map[net.Conn]*peer{}}
 	s.UpdateSettings(o.Models)
 	mux := http.NewServeMux()
@@ -377,14 +377,14 @@
 func (r reply) Rejected(message string) { r <- outcome{kind: isRefused, message: message} }
 
 // ask brings an infer to the desk and waits for its answer; false: its client has left.
-func (s *Server) ask(ctx context.Context, at *peer, p front.Params, came time.Time) (outcome, bool) {
+func (s *Server) ask(ctx context.Context, at *peer, p dispatch.Params, came time.Time) (outcome, bool) {
 	got := make(reply, 1)
-	var ask *front.Request
+	var ask *dispatch.Request
 	if !s.loop.Post(func() {
 		if at.conn == nil {
-			at.conn = s.desk.OpenConn(limits.PeerID(0))
+			at.conn = s.desk.OpenConn(admission.PeerID(0))
 		}
-		ask = at.conn.Submit(p, turn.FromDuration(time.Since(came)), got)
+		ask = at.conn.Submit(p, eventloop.FromDuration(time.Since(came)), got)
 	}) {
 		got.Denied("denied: this front end has stopped", 0)
 	}
@@ -435,9 +435,9 @@
 		fail(w, http.StatusRequestEntityTooLarge, fmt.Sprintf("a body of %d bytes, %d are taken", r.ContentLength, most))
 		return
 	}
-	p := front.Params{Method: m.Method, Function: m.Function, TimeoutMS: -1,
+	p := dispatch.Params{Method: m.Method, Function: m.Function, TimeoutMS: -1,
 		Customer: r.Header.Get(s.o.CustomerHeader), Token: r.Header.Get(s.o.TokenHeader)}
-	client, err := keys.FindClient(s.o.Clients, r.TLS)
+	client, err := certs.FindClient(s.o.Clients, r.TLS)
 	if err == nil {
 		err = client.Authorize(s.desk.MethodAt(m.Method).Name, &p.Customer)
 	}
--- a/internal/kserve/http_test.go
+++ b/internal/kserve/http_test.go
@@ -24,9 +24,9 @@
 	"google.golang.org/grpc/credentials"
 	grpcstatus "google.golang.org/grpc/status"
 
+	"mallowlanding/internal/certs/certstest"
 	"mallowlanding/internal/gateway"
 	"mallowlanding/internal/jsonrpc/jsontest"
-	"mallowlanding/internal/keys/keystest"
 	"mallowlanding/internal/kserve/oip"
 	"mallowlanding/internal/record"
 	"mallowlanding/internal/settings"
@@ -68,12 +68,12 @@
 		t.Fatalf("%v, %v", files, err)
 	}
 	day := 24 * time.Hour
-	ca := keystest.New(t, "ca", nil, time.Now().Add(-day), time.Now().Add(day))
+	ca := certstest.New(t, "ca", nil, time.Now().Add(-day), time.Now().Add(day))
 	ca.Write(t, filepath.Join(dir, "ca.pem"), "")
-	keystest.New(t, "localhost", ca, time.Now().Add(-day), time.Now().Add(day)).
+	certstest.New(t, "localhost", ca, time.Now().Add(-day), time.Now().Add(day)).
 		Write(t, filepath.Join(dir, "cert.pem"), filepath.Join(dir, "key.pem"))
 	for _, name := range []string{"app", "stranger"} {
-		keystest.New(t, name, ca, time.Now().Add(-day), time.Now().Add(day)).
+		certstest.New(t, name, ca, time.Now().Add(-day), time.Now().Add(day)).
 			Write(t, filepath.Join(dir, name+".pem"), filepath.Join(dir, name+".key"))
 	}
 	ports := map[string]string{}
--- a/internal/measure/config.go
+++ b/internal/measure/config.go
@@ -20,12 +20,12 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
+	"mallowlanding/internal/configclient"
+	"mallowlanding/internal/configdiff"
 	"mallowlanding/internal/control"
 	"mallowlanding/internal/control/wire"
 	"mallowlanding/internal/lastgood"
-	"mallowlanding/internal/resources"
 	"mallowlanding/internal/settings"
-	"mallowlanding/internal/steer"
 )
 
 // submits is how many versions each size of fleet is timed with.
@@ -111,22 +111,22 @@
 	if _, _, err := c.Leader(ctx); err != nil {
 		return nil, nil, err
 	}
-	var fleet []*steer.Client
+	var fleet []*configclient.Client
 	for i := range n {
-		o := steer.Options{Name: fmt.Sprintf("f%d", i), Sockets: sockets,
+		o := configclient.Options{Name: fmt.Sprintf("f%d", i), Sockets: sockets,
 			Store:     lastgood.Store{FS: lastgood.Disk{}, Path: filepath.Join(dir, fmt.Sprintf("f%d.kept", i))},
 			RedialMin: 20 * time.Millisecond, RedialMax: 200 * time.Millisecond, ReportInterval: 500 * time.Millisecond,
-			Check: func(v uint64, text string) (steer.Change, error) {
+			Check: func(v uint64, text string) (configclient.Change, error) {
 				_, err := settings.ReadConfiguration(fmt.Sprintf("version %d", v), strings.NewReader(text))
 				return checked{}, err
 			}, Log: zerolog.Nop()}
-		s := steer.New(o, steer.Initial{Source: "own settings"})
+		s := configclient.New(o, configclient.Initial{Source: "own settings"})
 		fleet = append(fleet, s)
 		running.Go(func() error { return s.Run(ctx) })
 	}
-	until := func(what string, is func(steer.Status) bool) error {
+	until := func(what string, is func(configclient.Status) bool) error {
 		for give := time.Now().Add(30 * time.Second); ; time.Sleep(200 * time.Microsecond) {
-			if !slices.ContainsFunc(fleet, func(s *steer.Client) bool { return !is(s.Status()) }) {
+			if !slices.ContainsFunc(fleet, func(s *configclient.Client) bool { return !is(s.Status()) }) {
 				return nil
 			}
 			if time.Now().After(give) || ctx.Err() != nil {
@@ -134,7 +134,7 @@
 			}
 		}
 	}
-	if err := until("connected", func(s steer.Status) bool { return s.Connected }); err != nil {
+	if err := until("connected", func(s configclient.Status) bool { return s.Connected }); err != nil {
 		return nil, nil, err
 	}
 	for i := range submits {
@@ -144,7 +144,7 @@
 			return nil, nil, err
 		}
 		numbered = append(numbered, time.Since(begin))
-		if err := until(fmt.Sprintf("at version %d", v), func(s steer.Status) bool { return s.Version >= v && s.Saved }); err != nil {
+		if err := until(fmt.Sprintf("at version %d", v), func(s configclient.Status) bool { return s.Version >= v && s.Saved }); err != nil {
 			return nil, nil, err
 		}
 		all = append(all, time.Since(begin))
@@ -324,7 +324,7 @@
 	for {
 		*text++
 		doc := document(6, *text)
-		canonical, _, err := resources.Canonical("document", doc)
+		canonical, _, err := configdiff.Canonical("document", doc)
 		if err != nil {
 			return acked, err
 		}
@@ -335,7 +335,7 @@
 		if v <= *highest {
 			return acked, fmt.Errorf("number %d was given after %d", v, *highest)
 		}
-		*highest, digests[v] = v, resources.Digest(canonical)
+		*highest, digests[v] = v, configdiff.Digest(canonical)
 		acked++
 	}
 }
--- a/internal/ident/ident.go
+++ b/internal/nameid/ident.go
@@ -1,6 +1,6 @@
-// Package ident derives ids from names. They must be the same at every front end: the module chooses homes by a
+// Package nameid derives ids from names. They must be the same at every front end: the module chooses homes by a
 // hash of both ids, and front ends that share nothing meet there.
-package ident
+package nameid
 
 import (
 	"fmt"
--- a/internal/ident/ident_test.go
+++ b/internal/nameid/ident_test.go
@@ -1,4 +1,4 @@
-package ident
+package nameid
 
 import (
 	"strconv"
--- a/internal/site/site.go
+++ b/internal/operatorsettings/site.go
@@ -1,6 +1,6 @@
-// Package site reads the settings that an instance is given by the operators, under their names and in their units,
+// Package operatorsettings reads the settings that an instance is given by the operators, under their names and in their units,
 // and hands them on under ours. The bench's adapter and the front end on the platform share it.
-package site
+package operatorsettings
 
 import (
 	"encoding/json"
@@ -9,37 +9,37 @@
 	"slices"
 	"strings"
 
-	"mallowlanding/internal/terms"
+	"mallowlanding/internal/settingkeys"
 	"mallowlanding/router"
 )
 
 // words maps the wire's names to ours. Names that are not here are passed over.
 var words = map[string]string{
-	"balancers": terms.FrontEnds, "myNumber": terms.Me, "zone": terms.Zone, "tickNs": terms.Tick,
-	"ceilings": terms.May, "cancel": terms.Retract, "connectTimeoutNs": terms.ConnectTimeout, "mayProbe": terms.Check,
-	"mostTries": terms.CallOuts, "maxRetryAfterNs": terms.ComeBack, "retryAfter": terms.Advise,
-	"secondCopies": terms.Overlap, "maxOpen": terms.Open, "idleCloseNs": terms.IdleClose, "peers": terms.Tell,
-	"clientHabits": terms.Clients, "marksRetry": terms.MarkRepeats,
-	"costs": terms.Price, "crossZone": terms.CrossZone, "lateFail": terms.Late, "origin": terms.Fetch, "probe": terms.Check,
-	"waste":     terms.Waste,
-	"customers": terms.Customers, "quotaPerS": terms.Quota, "share": terms.Share,
-	"familyInfo": terms.Functions, "idleLifeNs": terms.KeepAlive, "idlePrice": terms.MemoryPrice, "loadFloor": terms.LoadFree,
-	"loadRatio": terms.LoadShare, "loadsWithinNs": terms.LoadWindow, "mayLoad": terms.Orders, "onMiss": terms.OnMiss,
-	"ramMbByKind": terms.Memory, "tellsWarm": terms.TellsWarm, "notesPeersInHand": terms.TellsCrowd,
-	"answerWithinNs": terms.OrderTimeout,
-	"grades":         terms.Methods, "aimNs": terms.SoftDeadline, "aimStretch": terms.SoftStretch, "deadlineNs": terms.Deadline,
-	"effect": terms.Effect, "group": terms.Group, "lateShare": terms.LateShare, "value": terms.Gain, "windowNs": terms.Window,
-	"overShareWorth": terms.OverShare, "registryMode": terms.List, "worthBy": terms.GainBy,
-	"reporting": terms.Report, "names": terms.Values, "how": terms.How,
-	"rules": terms.Rules, "askEveryNs": terms.AskEvery, "coldFrom": terms.ColdFrom, "coldNs": terms.Cold, "drainGraceNs": terms.Drain,
-	"fallMultiple": terms.FallMultiple, "fallNs": terms.Fall, "graceToAnswerNs": terms.AnswerGrace,
+	"balancers": settingkeys.FrontEnds, "myNumber": settingkeys.Me, "zone": settingkeys.Zone, "tickNs": settingkeys.Tick,
+	"ceilings": settingkeys.May, "cancel": settingkeys.Retract, "connectTimeoutNs": settingkeys.ConnectTimeout, "mayProbe": settingkeys.Check,
+	"mostTries": settingkeys.CallOuts, "maxRetryAfterNs": settingkeys.ComeBack, "retryAfter": settingkeys.Advise,
+	"secondCopies": settingkeys.Overlap, "maxOpen": settingkeys.Open, "idleCloseNs": settingkeys.IdleClose, "peers": settingkeys.Tell,
+	"clientHabits": settingkeys.Clients, "marksRetry": settingkeys.MarkRepeats,
+	"costs": settingkeys.Price, "crossZone": settingkeys.CrossZone, "lateFail": settingkeys.Late, "origin": settingkeys.Fetch, "probe": settingkeys.Check,
+	"waste":     settingkeys.Waste,
+	"customers": settingkeys.Customers, "quotaPerS": settingkeys.Quota, "share": settingkeys.Share,
+	"familyInfo": settingkeys.Functions, "idleLifeNs": settingkeys.KeepAlive, "idlePrice": settingkeys.MemoryPrice, "loadFloor": settingkeys.LoadFree,
+	"loadRatio": settingkeys.LoadShare, "loadsWithinNs": settingkeys.LoadWindow, "mayLoad": settingkeys.Orders, "onMiss": settingkeys.OnMiss,
+	"ramMbByKind": settingkeys.Memory, "tellsWarm": settingkeys.TellsWarm, "notesPeersInHand": settingkeys.TellsCrowd,
+	"answerWithinNs": settingkeys.OrderTimeout,
+	"grades":         settingkeys.Methods, "aimNs": settingkeys.SoftDeadline, "aimStretch": settingkeys.SoftStretch, "deadlineNs": settingkeys.Deadline,
+	"effect": settingkeys.Effect, "group": settingkeys.Group, "lateShare": settingkeys.LateShare, "value": settingkeys.Gain, "windowNs": settingkeys.Window,
+	"overShareWorth": settingkeys.OverShare, "registryMode": settingkeys.List, "worthBy": settingkeys.GainBy,
+	"reporting": settingkeys.Report, "names": settingkeys.Values, "how": settingkeys.How,
+	"rules": settingkeys.Rules, "askEveryNs": settingkeys.AskEvery, "coldFrom": settingkeys.ColdFrom, "coldNs": settingkeys.Cold, "drainGraceNs": settingkeys.Drain,
+	"fallMultiple": settingkeys.FallMultiple, "fallNs": settingkeys.Fall, "graceToAnswerNs": settingkeys.AnswerGrace,
 	// values
 	"retryable": router.Idempotent, "dedup": router.Tokened, "fragile": router.SideEffecting,
-	"automatic": terms.Pushed, "subscribe": terms.Asked, "rif": terms.InHand, "q": terms.Waiting, "busy": terms.Util,
-	"lat_ms": terms.Latency, "rate": terms.Served, "fail_rate": terms.Errors, "x0": terms.Pinned, "x1": terms.Loads,
+	"automatic": settingkeys.Pushed, "subscribe": settingkeys.Asked, "rif": settingkeys.InHand, "q": settingkeys.Waiting, "busy": settingkeys.Util,
+	"lat_ms": settingkeys.Latency, "rate": settingkeys.Served, "fail_rate": settingkeys.Errors, "x0": settingkeys.Pinned, "x1": settingkeys.Loads,
 	// the same on sockets
-	"inflight": terms.InHand, "queue": terms.Waiting, "util": terms.Util, "latency_ms": terms.Latency,
-	"qps": terms.Served, "eps": terms.Errors,
+	"inflight": settingkeys.InHand, "queue": settingkeys.Waiting, "util": settingkeys.Util, "latency_ms": settingkeys.Latency,
+	"qps": settingkeys.Served, "eps": settingkeys.Errors,
 }
 
 // nsPerUnit: the operators' times are in nanoseconds, the module's in tenths of a millisecond.
@@ -167,15 +167,15 @@
 	case map[string]any:
 		for name, inner := range v {
 			if word, known := words[name]; known {
-				flatten(out, terms.Join(path, word), name, inner)
+				flatten(out, settingkeys.Join(path, word), name, inner)
 			}
 		}
 	case []any:
 		out[path] = float64(len(v))
 		for i, inner := range v {
-			flatten(out, terms.Item(path, i, ""), name, inner)
+			flatten(out, settingkeys.Item(path, i, ""), name, inner)
 			if value, isWord := inner.(string); isWord {
-				out[terms.Join(path, Translate(value))] = float64(i)
+				out[settingkeys.Join(path, Translate(value))] = float64(i)
 			}
 		}
 	case float64:
--- a/internal/site/site_test.go
+++ b/internal/operatorsettings/site_test.go
@@ -1,4 +1,4 @@
-package site
+package operatorsettings
 
 import (
 	"encoding/json"
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -13,14 +13,14 @@
 	"strconv"
 	"time"
 
+	"mallowlanding/internal/dispatch"
 	"mallowlanding/internal/engine"
+	"mallowlanding/internal/eventloop"
 	"mallowlanding/internal/feed"
-	"mallowlanding/internal/front"
-	"mallowlanding/internal/ident"
-	"mallowlanding/internal/site"
-	"mallowlanding/internal/terms"
+	"mallowlanding/internal/nameid"
+	"mallowlanding/internal/operatorsettings"
+	"mallowlanding/internal/settingkeys"
 	"mallowlanding/internal/thrift"
-	"mallowlanding/internal/turn"
 	"mallowlanding/router"
 )
 
@@ -120,23 +120,23 @@
 
 // take reads the settings. Gone are the places of methods and customers that were removed, by list and place.
 func (c *Config) take(gone map[string]map[int]bool) error {
-	for _, list := range site.ListNames {
-		if err := ident.CheckDistinct(site.EntryNames(c.settings, list), func(name string) string { return name }); err != nil {
+	for _, list := range operatorsettings.ListNames {
+		if err := nameid.CheckDistinct(operatorsettings.EntryNames(c.settings, list), func(name string) string { return name }); err != nil {
 			return fmt.Errorf(`"settings": %q: %w`, list, err)
 		}
 	}
-	c.ModuleSettings = site.FromTree(c.settings)
-	c.ModuleSettings[terms.List] = terms.Pushed // the journal service's events come by themselves
-	c.ModuleSettings[terms.Join(terms.Rules, terms.ListLasts)] = float64(turn.FromDuration(feed.SilenceExpiry))
-	c.Customers, c.Zones, c.Kinds = site.EntryNames(c.settings, site.Customers), site.EntryNames(c.settings, site.Zones), site.EntryNames(c.settings, site.Kinds)
-	for i := range gone[site.Customers] {
+	c.ModuleSettings = operatorsettings.FromTree(c.settings)
+	c.ModuleSettings[settingkeys.List] = settingkeys.Pushed // the journal service's events come by themselves
+	c.ModuleSettings[settingkeys.Join(settingkeys.Rules, settingkeys.ListLasts)] = float64(eventloop.FromDuration(feed.SilenceExpiry))
+	c.Customers, c.Zones, c.Kinds = operatorsettings.EntryNames(c.settings, operatorsettings.Customers), operatorsettings.EntryNames(c.settings, operatorsettings.Zones), operatorsettings.EntryNames(c.settings, operatorsettings.Kinds)
+	for i := range gone[operatorsettings.Customers] {
 		c.Customers[i] = ""
 	}
 	c.Methods, c.ReportValues = nil, nil // of the settings as they were read
-	if err := c.readMethods(site.EntryNames(c.settings, site.Methods)); err != nil {
+	if err := c.readMethods(operatorsettings.EntryNames(c.settings, operatorsettings.Methods)); err != nil {
 		return err
 	}
-	for i := range gone[site.Methods] {
+	for i := range gone[operatorsettings.Methods] {
 		c.Methods[i].Removed = true
 	}
 	return nil
@@ -145,7 +145,7 @@
 // keepPlaces puts what the settings list by place where the configuration before had it: RPCs that are open, and
 // workers, go by places. What is gone keeps its place and what it was; what is new comes behind.
 func (c *Config) keepPlaces(was *Config) error {
-	settings, gone := site.KeepIndexes(c.settings, was.settings)
+	settings, gone := operatorsettings.KeepIndexes(c.settings, was.settings)
 	c.settings = settings
 	return c.take(gone)
 }
@@ -186,21 +186,21 @@
 		return errors.New(`"settings": no methods`)
 	}
 	for i, name := range names {
-		num := func(what string) float64 { return c.number(terms.Item(terms.Methods, i, what)) }
+		num := func(what string) float64 { return c.number(settingkeys.Item(settingkeys.Methods, i, what)) }
 		word := func(what string) string {
-			v, _ := c.ModuleSettings[terms.Item(terms.Methods, i, what)].(string)
+			v, _ := c.ModuleSettings[settingkeys.Item(settingkeys.Methods, i, what)].(string)
 			return v
 		}
-		m := engine.Method{Name: name, Effect: word(terms.Effect), Group: word(terms.Group), Gain: num(terms.Gain),
-			SoftDeadline: router.Time(num(terms.SoftDeadline)), Deadline: router.Time(num(terms.Deadline)), MaxBatch: 1}
+		m := engine.Method{Name: name, Effect: word(settingkeys.Effect), Group: word(settingkeys.Group), Gain: num(settingkeys.Gain),
+			SoftDeadline: router.Time(num(settingkeys.SoftDeadline)), Deadline: router.Time(num(settingkeys.Deadline)), MaxBatch: 1}
 		if name == "" || m.Deadline <= 0 {
 			return fmt.Errorf(`"settings": method %d lacks its name or its deadline`, i)
 		}
 		c.Methods = append(c.Methods, m)
 	}
-	values := terms.Join(terms.Report, terms.Values)
+	values := settingkeys.Join(settingkeys.Report, settingkeys.Values)
 	for i := range int(c.number(values)) {
-		word, _ := c.ModuleSettings[terms.Item(values, i, "")].(string)
+		word, _ := c.ModuleSettings[settingkeys.Item(values, i, "")].(string)
 		c.ReportValues = append(c.ReportValues, word)
 	}
 	return nil
@@ -210,8 +210,8 @@
 
 // span reads a time of the settings.
 func (c *Config) span(level, name string, or time.Duration) time.Duration {
-	if v := c.number(terms.Join(level, name)); v > 0 {
-		return turn.ToDuration(router.Time(v))
+	if v := c.number(settingkeys.Join(level, name)); v > 0 {
+		return eventloop.ToDuration(router.Time(v))
 	}
 	return or
 }
@@ -225,7 +225,9 @@
 }
 
 // pace is how far apart turns begin at the least: as the module is driven elsewhere.
-func (c *Config) pace() time.Duration { return turn.ToDuration(router.Time(c.number(terms.Tick))) }
+func (c *Config) pace() time.Duration {
+	return eventloop.ToDuration(router.Time(c.number(settingkeys.Tick)))
+}
 
 // heap is what Go's collector keeps its own under.
 func (c *Config) heap() int64 { return int64(c.MemoryMB * heapPart * (1 << 20)) }
@@ -234,7 +236,7 @@
 func (c *Config) longest() (most time.Duration) {
 	for _, m := range c.Methods {
 		if !m.Removed {
-			most = max(most, turn.ToDuration(m.Deadline))
+			most = max(most, eventloop.ToDuration(m.Deadline))
 		}
 	}
 	return most
@@ -243,9 +245,9 @@
 // memoryMost is the memory of the largest kind of worker, in MB.
 func (c *Config) memoryMost() (most float64) {
 	for i := range c.Kinds {
-		most = max(most, c.number(terms.Item(terms.Join(terms.Functions, terms.Memory), i, "")))
+		most = max(most, c.number(settingkeys.Item(settingkeys.Join(settingkeys.Functions, settingkeys.Memory), i, "")))
 	}
 	return most
 }
 
-func (c *Config) service() *front.Service { return front.NewService(c.Methods, c.Customers, nil) }
+func (c *Config) service() *dispatch.Service { return dispatch.NewService(c.Methods, c.Customers, nil) }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -14,15 +14,15 @@
 	"github.com/rs/zerolog"
 	"golang.org/x/sync/errgroup"
 
+	"mallowlanding/internal/admission"
+	"mallowlanding/internal/dispatch"
 	"mallowlanding/internal/engine"
+	"mallowlanding/internal/eventloop"
 	"mallowlanding/internal/feed"
-	"mallowlanding/internal/front"
 	"mallowlanding/internal/httplink"
-	"mallowlanding/internal/ident"
-	"mallowlanding/internal/limits"
-	"mallowlanding/internal/terms"
+	"mallowlanding/internal/nameid"
+	"mallowlanding/internal/settingkeys"
 	"mallowlanding/internal/thrift"
-	"mallowlanding/internal/turn"
 	"mallowlanding/router"
 )
 
@@ -46,9 +46,9 @@
 	path  string
 	env   func(string) string
 	log   zerolog.Logger
-	loop  *turn.Loop
+	loop  *eventloop.Loop
 	e     *engine.Engine
-	desk  *front.Dispatcher
+	desk  *dispatch.Dispatcher
 	links *httplink.LinkSet
 	srv   *thrift.Server
 	feed  *feed.Feed
@@ -104,14 +104,14 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	f := &FrontEnd{path: path, env: env, log: log.With().Str("front_end", c.Name).Logger(), loop: turn.NewLoop(),
+	f := &FrontEnd{path: path, env: env, log: log.With().Str("front_end", c.Name).Logger(), loop: eventloop.NewLoop(),
 		lame: lame, addresses: map[string]string{}, zones: c.Zones, kinds: c.Kinds}
 	f.loop.SetMinInterval(c.pace())
 	f.base = f.loop.Now() - router.Time(time.Now().UnixMicro()/100)
-	f.e = engine.New(engine.Options{Settings: c.ModuleSettings, Seed: c.Seed, Now: f.loop.Now(), AnswerMargin: turn.FromDuration(margin),
+	f.e = engine.New(engine.Options{Settings: c.ModuleSettings, Seed: c.Seed, Now: f.loop.Now(), AnswerMargin: eventloop.FromDuration(margin),
 		Log:      func(text string) { f.log.Info().Str("from", "module").Msg(text) },
 		OnGiveUp: f.logGivenUp, Subscribe: func() { f.feed.AskAgain() }})
-	f.desk = front.New(f.e, front.Options{Methods: c.Methods, Customers: c.Customers, AnswerMargin: turn.FromDuration(margin), NoJoin: true})
+	f.desk = dispatch.New(f.e, dispatch.Options{Methods: c.Methods, Customers: c.Customers, AnswerMargin: eventloop.FromDuration(margin), NoJoin: true})
 	f.links = httplink.New(f.loop, f.e, f.linkOptions(c))
 	f.srv = thrift.New(f.loop, f.desk, thrift.Options{Limits: c.bounds(), Ready: f.ready, Log: f.log})
 	f.feed = feed.New(c.JournalAddress, f.listed, f.lapse, f.log)
@@ -122,10 +122,10 @@
 func (f *FrontEnd) ready() bool { return f.told.Load() && !f.leaving.Load() }
 
 func (f *FrontEnd) linkOptions(c *Config) httplink.Options {
-	return httplink.Options{ConnectTimeout: c.span(terms.May, terms.ConnectTimeout, 250*time.Millisecond),
-		OrderTimeout:   c.span(terms.Functions, terms.OrderTimeout, 10*time.Second),
-		IdleTimeout:    c.span(terms.May, terms.IdleClose, 10*time.Second),
-		MaxPause:       turn.ToDuration(router.MaxPause(c.ModuleSettings)),
+	return httplink.Options{ConnectTimeout: c.span(settingkeys.May, settingkeys.ConnectTimeout, 250*time.Millisecond),
+		OrderTimeout:   c.span(settingkeys.Functions, settingkeys.OrderTimeout, 10*time.Second),
+		IdleTimeout:    c.span(settingkeys.May, settingkeys.IdleClose, 10*time.Second),
+		MaxPause:       eventloop.ToDuration(router.MaxPause(c.ModuleSettings)),
 		MaxConnections: c.connections(), ReportValues: c.ReportValues, Dialer: f.dials, Log: f.log}
 }
 
@@ -278,7 +278,7 @@
 	f.loop.Post(func() {
 		f.zones, f.kinds = c.Zones, c.Kinds
 		f.e.UpdateSettings(c.ModuleSettings, prepared, c.Methods)
-		f.desk.UpdateSettings(service, limits.Settings{})
+		f.desk.UpdateSettings(service, admission.Settings{})
 		f.links.UpdateSettings(links)
 	})
 	f.loop.SetMinInterval(c.pace())
@@ -318,7 +318,7 @@
 
 // loopTime is a time by the loop's clock, cut to whole units.
 func (f *FrontEnd) loopTime(t time.Time) router.Time {
-	return f.loop.Now() - turn.FromDuration(time.Since(t)) - 1
+	return f.loop.Now() - eventloop.FromDuration(time.Since(t)) - 1
 }
 
 // confirmList tells the module how old the list is. The module knows of the clock for a service that is out of reach
@@ -329,7 +329,7 @@
 	}
 	asOf := f.listAsOf
 	if f.lapsesBy > 0 {
-		asOf = min(asOf, f.lapsesBy-turn.FromDuration(feed.SilenceExpiry))
+		asOf = min(asOf, f.lapsesBy-eventloop.FromDuration(feed.SilenceExpiry))
 	}
 	f.e.ConfirmWorkerList(asOf)
 }
@@ -373,7 +373,7 @@
 		return nil
 	}
 	f.addresses[w.Name] = address
-	f.links.Add(w.Name, address, ident.Worker(w.Name))
+	f.links.Add(w.Name, address, nameid.Worker(w.Name))
 	return nil
 }
 
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -25,7 +25,7 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
-	"mallowlanding/internal/hop"
+	"mallowlanding/internal/httpconn"
 )
 
 // A file has conversations, each under a line of '== NAME', one step a line; '#' begins a comment. They are held over
@@ -615,7 +615,7 @@
 
 // Dial implements httplink.Dialer: a connection to a worker that is late comes up, but the front end hears of it only
 // once the worker says so, whether it still wants to know or not.
-func (s *stage) Dial(ctx context.Context, address string, within time.Duration) (*hop.Conn, error) {
+func (s *stage) Dial(ctx context.Context, address string, within time.Duration) (*httpconn.Conn, error) {
 	s.mu.Lock()
 	var to *worker
 	var late chan bool
@@ -625,7 +625,7 @@
 		}
 	}
 	s.mu.Unlock()
-	conn, err := hop.Dial(context.WithoutCancel(ctx), address, within)
+	conn, err := httpconn.Dial(context.WithoutCancel(ctx), address, within)
 	if late != nil && err == nil {
 		stop := context.AfterFunc(ctx, func() { to.drop <- true })
 		defer stop()
--- a/internal/rehearse/config.go
+++ b/internal/rehearse/config.go
@@ -11,9 +11,9 @@
 
 	"mallowlanding/internal/control"
 	"mallowlanding/internal/control/wire"
-	"mallowlanding/internal/day"
+	"mallowlanding/internal/eventloop"
+	"mallowlanding/internal/scenario"
 	"mallowlanding/internal/settings"
-	"mallowlanding/internal/turn"
 )
 
 // configs is what became of the configurations that a day submitted.
@@ -36,12 +36,12 @@
 		return err
 	}
 	defer c.Close()
-	ctx, end := context.WithTimeout(ctx, turn.ToDuration(t.For))
+	ctx, end := context.WithTimeout(ctx, eventloop.ToDuration(t.For))
 	defer end()
 	every := time.Duration(float64(time.Second) / max(t.Size, 0.001))
 	for n := 0; sleep(ctx, every); n++ {
 		bad := rng.Float64() < t.Part
-		text, err := day.Configuration(m.f.s, m.f.dir, n, bad, rng)
+		text, err := scenario.Configuration(m.f.s, m.f.dir, n, bad, rng)
 		if err != nil {
 			return err
 		}
@@ -72,7 +72,7 @@
 		return err
 	}
 	defer c.Close()
-	text, err := day.Move(m.f.s)
+	text, err := scenario.Move(m.f.s)
 	if err != nil {
 		return err
 	}
--- a/internal/rehearse/fleet.go
+++ b/internal/rehearse/fleet.go
@@ -13,10 +13,10 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"mallowlanding/internal/eventloop"
 	"mallowlanding/internal/jsonrpc"
 	"mallowlanding/internal/record"
 	"mallowlanding/internal/settings"
-	"mallowlanding/internal/turn"
 
 	"net"
 )
@@ -281,7 +281,7 @@
 	if err := settings.Write(file, "worker", w); err != nil {
 		return err
 	}
-	p, err := f.start(w.Name, "worker", file, "--drain", turn.ToDuration(f.s.Fleet.RosterLag+20000).String())
+	p, err := f.start(w.Name, "worker", file, "--drain", eventloop.ToDuration(f.s.Fleet.RosterLag+20000).String())
 	if err != nil {
 		return err
 	}
--- a/internal/rehearse/load.go
+++ b/internal/rehearse/load.go
@@ -25,12 +25,12 @@
 	"google.golang.org/grpc/status"
 
 	"mallowlanding/internal/clients"
-	"mallowlanding/internal/day"
+	"mallowlanding/internal/eventloop"
 	"mallowlanding/internal/jsonrpc"
 	"mallowlanding/internal/kserve/oip"
 	"mallowlanding/internal/record"
+	"mallowlanding/internal/scenario"
 	"mallowlanding/internal/settings"
-	"mallowlanding/internal/turn"
 	"mallowlanding/router"
 )
 
@@ -42,7 +42,7 @@
 	start time.Time
 
 	mu      sync.Mutex
-	book    *day.Book
+	book    *scenario.Book
 	pools   []*pool
 	dead    []time.Time // since when a front end is known to be dead
 	open    sync.WaitGroup
@@ -63,7 +63,7 @@
 }
 
 func newCallers(s *settings.Scenario, f *fleet, keep func(record.Record)) (*callers, error) {
-	c := &callers{s: s, fleet: f, keep: keep, book: day.NewBook(s), lookups: map[string]*settings.Method{},
+	c := &callers{s: s, fleet: f, keep: keep, book: scenario.NewBook(s), lookups: map[string]*settings.Method{},
 		dead: make([]time.Time, s.Fleet.FrontEnds)}
 	for i := range s.Service.Methods {
 		m := &s.Service.Methods[i]
@@ -127,12 +127,12 @@
 func (c *callers) pick(rng *rand.Rand) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return day.Front(rng, len(c.dead), func(i int) time.Duration {
+	return scenario.Front(rng, len(c.dead), func(i int) time.Duration {
 		if c.dead[i].IsZero() {
 			return -1
 		}
 		return time.Since(c.dead[i])
-	}, turn.ToDuration(c.s.Clients.Notice))
+	}, eventloop.ToDuration(c.s.Clients.Notice))
 }
 
 // front notes that a front end died or is back.
@@ -146,7 +146,7 @@
 
 // run sends the day's load and waits until all is answered or given up.
 func (c *callers) run(ctx context.Context) {
-	arrivals := day.NewArrivals(c.s)
+	arrivals := scenario.NewArrivals(c.s)
 	c.start = time.Now()
 	var rpcs sync.WaitGroup
 	for ctx.Err() == nil {
@@ -170,12 +170,12 @@
 }
 
 // one is one client's RPC with its repeats.
-func (c *callers) one(ctx context.Context, a day.Arrival) {
+func (c *callers) one(ctx context.Context, a scenario.Arrival) {
 	m := c.lookups[a.Mix.Method]
-	cl := day.NewClient(c.s, m, a)
+	cl := scenario.NewClient(c.s, m, a)
 	began := c.start.Add(a.At)
-	deadline := began.Add(turn.ToDuration(m.Deadline))
-	outcome := day.Lost
+	deadline := began.Add(eventloop.ToDuration(m.Deadline))
+	outcome := scenario.Lost
 	for try := 0; ctx.Err() == nil; try++ {
 		span, repeat, goes := cl.Try(time.Since(c.start), time.Until(deadline))
 		if !goes {
@@ -193,7 +193,7 @@
 		case <-ctx.Done():
 		}
 	}
-	if outcome == day.Quit { // it wants nothing any more
+	if outcome == scenario.Quit { // it wants nothing any more
 		return
 	}
 	c.mu.Lock()
@@ -202,7 +202,7 @@
 }
 
 // try sends one RPC and waits for its answer, for its time and some more: late answers are seen, too.
-func (c *callers) try(ctx context.Context, front int, mark string, cl *day.Client, a day.Arrival, span time.Duration,
+func (c *callers) try(ctx context.Context, front int, mark string, cl *scenario.Client, a scenario.Arrival, span time.Duration,
 	repeat bool) (outcome string, sent bool, comeBack time.Duration) {
 	m, mix, function, token := cl.Method, a.Mix, a.Function, cl.Token
 	if mix.Front != jsonRPC && !a.Once {
@@ -298,7 +298,7 @@
 }
 
 // slack is how long a client looks for an answer once its time is up: late ones are seen, too.
-func (c *callers) slack() time.Duration { return turn.ToDuration(c.s.Slack) + time.Second }
+func (c *callers) slack() time.Duration { return eventloop.ToDuration(c.s.Slack) + time.Second }
 
 // tryGRPC is try over the second front's gRPC; a connection carries many RPCs.
 func (c *callers) tryGRPC(ctx context.Context, front int, mark, token, function string, mix settings.Mix,
--- a/internal/rehearse/rehearse.go
+++ b/internal/rehearse/rehearse.go
@@ -13,10 +13,10 @@
 
 	"github.com/rs/zerolog"
 
-	"mallowlanding/internal/day"
+	"mallowlanding/internal/eventloop"
 	"mallowlanding/internal/record"
+	"mallowlanding/internal/scenario"
 	"mallowlanding/internal/settings"
-	"mallowlanding/internal/turn"
 )
 
 // ErrBroken: a rule broke.
@@ -41,7 +41,7 @@
 }
 
 // Play runs a scenario's processes as exe and audits what they left.
-func Play(ctx context.Context, s *settings.Scenario, exe, keep string, log zerolog.Logger) (*day.Outcome, error) {
+func Play(ctx context.Context, s *settings.Scenario, exe, keep string, log zerolog.Logger) (*scenario.Outcome, error) {
 	dir := keep
 	var err error
 	if dir == "" {
@@ -62,7 +62,7 @@
 	f := &fleet{s: s, exe: exe, dir: dir, keep: keepRecord, procs: map[string]*process{}}
 	longest := time.Duration(0)
 	for _, m := range s.Service.Methods {
-		longest = max(longest, turn.ToDuration(m.Deadline))
+		longest = max(longest, eventloop.ToDuration(m.Deadline))
 	}
 	stopped := false
 	defer func() {
@@ -74,7 +74,7 @@
 		return nil, err
 	}
 	// the list comes to the front ends with the roster's lag
-	if !sleep(ctx, turn.ToDuration(s.Fleet.RosterLag)+500*time.Millisecond) {
+	if !sleep(ctx, eventloop.ToDuration(s.Fleet.RosterLag)+500*time.Millisecond) {
 		return nil, ctx.Err()
 	}
 	log.Info().Str("scenario", s.Name).Int("front_ends", s.Fleet.FrontEnds).Int("workers", len(f.workers)).
@@ -93,7 +93,7 @@
 	c.run(today)
 	<-troubles
 	// what was sent last is answered before its time is up, or a rule breaks
-	sleep(ctx, longest+turn.ToDuration(s.Slack))
+	sleep(ctx, longest+eventloop.ToDuration(s.Slack))
 	if err := m.configs.look(ctx, f); err != nil {
 		log.Warn().Err(err).Msg("the control service does not tell how the day's configurations ended")
 	}
@@ -120,7 +120,7 @@
 		}
 	}
 	all := append(seen, theirs...)
-	o := day.Judge(s, all, c.book, m.configs.String())
+	o := scenario.Judge(s, all, c.book, m.configs.String())
 	o.Broken = len(m.configs.BadAccepted) > 0
 	return o, ctx.Err()
 }
--- a/internal/rehearse/trouble.go
+++ b/internal/rehearse/trouble.go
@@ -11,9 +11,9 @@
 
 	"github.com/rs/zerolog"
 
+	"mallowlanding/internal/eventloop"
 	"mallowlanding/internal/record"
 	"mallowlanding/internal/settings"
-	"mallowlanding/internal/turn"
 )
 
 // maker makes the day's troubles happen.
@@ -31,11 +31,11 @@
 		m.wg.Add(1)
 		go func() {
 			defer m.wg.Done()
-			if !sleep(ctx, time.Until(start.Add(turn.ToDuration(t.At)))) {
+			if !sleep(ctx, time.Until(start.Add(eventloop.ToDuration(t.At)))) {
 				return
 			}
 			m.log.Info().Str("kind", t.Kind).Float64("part", t.Part).Float64("size", t.Size).
-				Dur("for", turn.ToDuration(t.For)).Msg("trouble")
+				Dur("for", eventloop.ToDuration(t.For)).Msg("trouble")
 			if err := m.make(ctx, t, rand.New(rand.NewSource(m.f.s.Seed+int64(n)))); err != nil && ctx.Err() == nil {
 				m.log.Error().Err(err).Str("kind", t.Kind).Msg("trouble could not be made")
 			}
@@ -66,7 +66,7 @@
 }
 
 func (m *maker) make(ctx context.Context, t settings.Trouble, rng *rand.Rand) error {
-	span := turn.ToDuration(t.For)
+	span := eventloop.ToDuration(t.For)
 	params := fmt.Sprintf(`{"for_ms":%g,"size":%g,"seed":%d}`, float64(t.For)/10, t.Size, m.f.s.Seed)
 	each := func(ws []*settings.Worker, fault, params string) error {
 		for _, w := range ws {
--- a/internal/follow/follow.go
+++ b/internal/rosterwatch/follow.go
@@ -1,6 +1,6 @@
-// Package follow keeps a front end's list of workers after the roster's: it watches, tells the engine of changes,
+// Package rosterwatch keeps a front end's list of workers after the roster's: it watches, tells the engine of changes,
 // acknowledges what the engine was told, and keeps the last list on disk for the next start.
-package follow
+package rosterwatch
 
 import (
 	"context"
@@ -19,10 +19,10 @@
 	"github.com/rs/zerolog"
 
 	"mallowlanding/internal/engine"
-	"mallowlanding/internal/ident"
+	"mallowlanding/internal/eventloop"
 	"mallowlanding/internal/jsonrpc"
-	"mallowlanding/internal/links"
-	"mallowlanding/internal/turn"
+	"mallowlanding/internal/nameid"
+	"mallowlanding/internal/workerlink"
 	"mallowlanding/router"
 )
 
@@ -77,9 +77,9 @@
 // Watcher follows one roster. Its state belongs to the loop's goroutine.
 type Watcher struct {
 	o       Options
-	loop    *turn.Loop
+	loop    *eventloop.Loop
 	engine  *engine.Engine
-	links   *links.Set
+	links   *workerlink.Set
 	entries map[string]entry
 	order   []string
 	lives   map[string]life
@@ -96,7 +96,7 @@
 }
 
 // New makes a follower; Run starts it.
-func New(loop *turn.Loop, e *engine.Engine, l *links.Set, o Options) *Watcher {
+func New(loop *eventloop.Loop, e *engine.Engine, l *workerlink.Set, o Options) *Watcher {
 	return &Watcher{o: o, loop: loop, engine: e, links: l, entries: map[string]entry{}, lives: map[string]life{},
 		saves: make(chan []entry, 1), told: make(chan struct{}), static: statics(o.Static), sockets: o.Sockets}
 }
@@ -169,7 +169,7 @@
 	if w.State == "gone" {
 		f.links.Remove(w.Name)
 	} else {
-		f.links.Add(w.Name, w.Socket, ident.Worker(w.Name))
+		f.links.Add(w.Name, w.Socket, nameid.Worker(w.Name))
 	}
 }
 
@@ -345,7 +345,7 @@
 			return fmt.Errorf("worker %q: unknown state %.40q", w.Name, w.State)
 		}
 	}
-	return ident.CheckDistinct(names, ident.Worker)
+	return nameid.CheckDistinct(names, nameid.Worker)
 }
 
 // apply brings a list to the engine; in a turn.
--- a/internal/core/core.go
+++ b/internal/routing/core.go
@@ -1,6 +1,6 @@
-// Package core holds one front end's router with the handles of its RPCs. The bench's adapter and the engine of
+// Package routing holds one front end's router with the handles of its RPCs. The bench's adapter and the engine of
 // the program both bring their events here, so that they agree on what an event means.
-package core
+package routing
 
 import "mallowlanding/router"
 
--- a/internal/day/config.go
+++ b/internal/scenario/config.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"fmt"
--- a/internal/day/day.go
+++ b/internal/scenario/day.go
@@ -1,6 +1,6 @@
-// Package day has what a scripted day is, whoever plays it: who asks for what and when, how clients try again, and the
+// Package scenario has what a scripted day is, whoever plays it: who asks for what and when, how clients try again, and the
 // table of what became of it. No I/O, no clock.
-package day
+package scenario
 
 import (
 	"encoding/json"
@@ -15,9 +15,9 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 
 	"mallowlanding/internal/audit"
+	"mallowlanding/internal/eventloop"
 	"mallowlanding/internal/record"
 	"mallowlanding/internal/settings"
-	"mallowlanding/internal/turn"
 	"mallowlanding/router"
 )
 
@@ -59,7 +59,7 @@
 	for i := range s.Service.Methods {
 		b.Methods[s.Service.Methods[i].Name] = NewTally()
 	}
-	for range int(turn.ToDuration(s.Length)/time.Second) + 1 {
+	for range int(eventloop.ToDuration(s.Length)/time.Second) + 1 {
 		b.Seconds = append(b.Seconds, NewTally())
 	}
 	return b
@@ -74,7 +74,7 @@
 		switch outcome {
 		case OK:
 			t.OK++
-			if took <= turn.ToDuration(m.Soft) {
+			if took <= eventloop.ToDuration(m.Soft) {
 				t.GainKept += m.Gain
 			} else {
 				t.Late++
@@ -178,7 +178,7 @@
 		return Arrival{}, false
 	}
 	e := a.s.Load.Events[a.n]
-	out := Arrival{N: a.n, At: turn.ToDuration(e.At), Seed: a.rng.Int63(), Function: e.Function,
+	out := Arrival{N: a.n, At: eventloop.ToDuration(e.At), Seed: a.rng.Int63(), Function: e.Function,
 		Mix: settings.Mix{Method: e.Method, Customer: e.Customer, Front: a.s.Load.Mix[0].Front}}
 	for _, m := range a.s.Load.Mix {
 		if m.Method == e.Method {
@@ -186,7 +186,7 @@
 		}
 	}
 	a.n++
-	return out, out.At < turn.ToDuration(a.s.Length)
+	return out, out.At < eventloop.ToDuration(a.s.Length)
 }
 
 // Next gives the next arrival; false: the day is over.
@@ -197,7 +197,7 @@
 	if a.s.Load.Process == "trace" {
 		return a.traced()
 	}
-	rate, once := a.rateAt(turn.FromDuration(a.at))
+	rate, once := a.rateAt(eventloop.FromDuration(a.at))
 	gap := func() float64 { return a.rng.ExpFloat64() }
 	if a.s.Load.Process == "steady" {
 		gap = func() float64 { return 1 }
@@ -208,10 +208,10 @@
 			most = 1
 		}
 		a.at += time.Duration(gap() / (rate * most) * float64(time.Second))
-		if a.at >= turn.ToDuration(a.s.Length) {
+		if a.at >= eventloop.ToDuration(a.s.Length) {
 			return Arrival{}, false
 		}
-		if most == 1 || a.rng.Float64()*most < a.swing(turn.FromDuration(a.at)) {
+		if most == 1 || a.rng.Float64()*most < a.swing(eventloop.FromDuration(a.at)) {
 			break
 		}
 	}
@@ -273,7 +273,7 @@
 	if left <= 0 || c.try > c.s.Retries {
 		return 0, false, false
 	}
-	span = time.Duration(float64(turn.ToDuration(c.Method.Deadline)) * (c.s.TryShare + (1-c.s.TryShare)*c.rng.Float64()))
+	span = time.Duration(float64(eventloop.ToDuration(c.Method.Deadline)) * (c.s.TryShare + (1-c.s.TryShare)*c.rng.Float64()))
 	if !c.sent {
 		c.sent, c.first = true, now
 	}
@@ -286,11 +286,11 @@
 func (c *Client) Again(now time.Duration, outcome string, sent bool, comeBack time.Duration) (wait time.Duration, again bool) {
 	m := c.Method
 	again = !sent || outcome == Denied || m.Effect == router.Idempotent ||
-		m.Effect == router.Tokened && m.Group == "all" && now-c.first < turn.ToDuration(m.Window)/2
+		m.Effect == router.Tokened && m.Group == "all" && now-c.first < eventloop.ToDuration(m.Window)/2
 	if outcome == OK || outcome == Quit || !again {
 		return 0, false
 	}
-	wait = turn.ToDuration(c.s.BackOff)
+	wait = eventloop.ToDuration(c.s.BackOff)
 	if comeBack > 0 && c.rng.Float64() < c.s.Heed {
 		wait = comeBack
 	}
@@ -300,7 +300,7 @@
 // Impatient tells whether it will leave before its answer comes, after how long, and by closing its connection.
 func (c *Client) Impatient() (after time.Duration, closes, is bool) {
 	is = c.rng.Float64() < c.s.Impatient
-	after = time.Duration(c.rng.Float64() * float64(turn.ToDuration(c.Method.Soft)))
+	after = time.Duration(c.rng.Float64() * float64(eventloop.ToDuration(c.Method.Soft)))
 	return after, c.rng.Intn(2) == 0, is
 }
 
--- a/internal/hunt/hunt.go
+++ b/internal/scenariosearch/hunt.go
@@ -1,6 +1,6 @@
-// Package hunt looks for the small day on which the program does worst: against the oracle, or by breaking a rule. It
+// Package scenariosearch looks for the small day on which the program does worst: against the oracle, or by breaking a rule. It
 // draws days by chance from one seed, takes the worst, and shrinks it while it stays as bad.
-package hunt
+package scenariosearch
 
 import (
 	"context"
--- a/internal/hunt/hunt_test.go
+++ b/internal/scenariosearch/hunt_test.go
@@ -1,4 +1,4 @@
-package hunt
+package scenariosearch
 
 import (
 	"context"
--- a/internal/terms/terms.go
+++ b/internal/settingkeys/terms.go
@@ -1,6 +1,6 @@
-// Package terms names the settings that the module reads, once for all that hand settings to it: the adapter for
+// Package settingkeys names the settings that the module reads, once for all that hand settings to it: the adapter for
 // the bench translates its wire's words into these, the program its XML.
-package terms
+package settingkeys
 
 import "strconv"
 
--- a/internal/settings/configuration.go
+++ b/internal/settings/configuration.go
@@ -8,7 +8,7 @@
 	"slices"
 	"strings"
 
-	"mallowlanding/internal/limits"
+	"mallowlanding/internal/admission"
 	"mallowlanding/router"
 )
 
@@ -218,13 +218,13 @@
 }
 
 // LimitSettings are the figures of the front end's gate.
-func (f *FrontEnd) LimitSettings() limits.Settings {
+func (f *FrontEnd) LimitSettings() admission.Settings {
 	c, back := &f.Clients, f.Service.CallOuts.RetryAfter
 	if !f.Service.CallOuts.Advise {
 		back = 0
 	}
-	return limits.Settings{Total: limits.Limit{RPCs: c.TotalOpen, Bytes: c.TotalBytes},
-		Peer: limits.Limit{RPCs: c.PeerOpen, Bytes: c.PeerBytes}, Conn: limits.Limit{RPCs: c.Open, Bytes: c.OpenBytes},
+	return admission.Settings{Total: admission.Limit{RPCs: c.TotalOpen, Bytes: c.TotalBytes},
+		Peer: admission.Limit{RPCs: c.PeerOpen, Bytes: c.PeerBytes}, Conn: admission.Limit{RPCs: c.Open, Bytes: c.OpenBytes},
 		MaxHeld: c.Held, MaxRetryAfter: back}
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -11,8 +11,8 @@
 	"strings"
 
 	"mallowlanding/internal/engine"
-	"mallowlanding/internal/ident"
-	"mallowlanding/internal/terms"
+	"mallowlanding/internal/nameid"
+	"mallowlanding/internal/settingkeys"
 	"mallowlanding/router"
 )
 
@@ -428,7 +428,7 @@
 	for i, fn := range s.Functions.Overrides {
 		names[i] = fn.Name
 	}
-	if err := ident.CheckDistinct(names, ident.Function); err != nil {
+	if err := nameid.CheckDistinct(names, nameid.Function); err != nil {
 		return s.Functions.Errorf("functions: %v", err)
 	}
 	return cmp.Or(
@@ -498,7 +498,7 @@
 }
 
 // ReportValues are the figures of a worker's load report, in their order on the wire.
-var ReportValues = []string{terms.Util, terms.Pinned, terms.InHand, terms.Loads}
+var ReportValues = []string{settingkeys.Util, settingkeys.Pinned, settingkeys.InHand, settingkeys.Loads}
 
 // FrontEndCount is how many front ends share the workers: what the service tells, else what the front end's own file does.
 func (f *FrontEnd) FrontEndCount() int { return cmp.Or(f.Service.Shared.FrontEnds, f.Of) }
@@ -507,62 +507,62 @@
 func (f *FrontEnd) RouterSettings() router.Settings {
 	s, c, r, fn := &f.Service, &f.Service.CallOuts, &f.Service.Rules, &f.Service.Functions
 	out := router.Settings{
-		terms.FrontEnds: float64(f.FrontEndCount()),
-		terms.Me:        float64(f.Number),
-		terms.Zone:      float64(s.ZoneID(f.Zone)),
-		terms.List:      terms.Pushed,
-		terms.OverShare: c.OverShareGain,
-
-		terms.Join(terms.May, terms.CallOuts):       float64(c.MaxCallOuts),
-		terms.Join(terms.May, terms.Overlap):        c.Overlap,
-		terms.Join(terms.May, terms.Retract):        c.Retract,
-		terms.Join(terms.May, terms.Check):          c.Check,
-		terms.Join(terms.May, terms.ConnectTimeout): float64(c.ConnectTimeOut),
-		terms.Join(terms.May, terms.ComeBack):       float64(c.RetryAfter),
-		terms.Join(terms.May, terms.Advise):         c.Advise,
-
-		terms.Join(terms.Price, terms.CrossZone): s.Price.CrossZone,
-
-		terms.Join(terms.Functions, terms.KeepAlive):    float64(fn.KeepAlive),
-		terms.Join(terms.Functions, terms.Orders):       fn.Orders,
-		terms.Join(terms.Functions, terms.OrderTimeout): float64(fn.OrderTimeOut),
-		terms.Join(terms.Functions, terms.LoadWindow):   float64(fn.LoadWindow),
-		terms.Join(terms.Functions, terms.LoadFree):     fn.LoadFree,
-		terms.Join(terms.Functions, terms.LoadShare):    fn.LoadShare,
-		terms.Join(terms.Functions, terms.TellsWarm):    true,
-		terms.Join(terms.Functions, terms.TellsCrowd):   true,
-
-		terms.Join(terms.Rules, terms.Drain):        float64(r.Drain),
-		terms.Join(terms.Rules, terms.Cold):         float64(r.Cold),
-		terms.Join(terms.Rules, terms.ColdFrom):     r.ColdFrom,
-		terms.Join(terms.Rules, terms.FallMultiple): r.FallMultiple,
-		terms.Join(terms.Rules, terms.Fall):         float64(r.Fall),
-
-		terms.Methods:   float64(len(s.Methods)),
-		terms.Customers: float64(len(s.Customers)),
-	}
-	memory := terms.Join(terms.Functions, terms.Memory)
+		settingkeys.FrontEnds: float64(f.FrontEndCount()),
+		settingkeys.Me:        float64(f.Number),
+		settingkeys.Zone:      float64(s.ZoneID(f.Zone)),
+		settingkeys.List:      settingkeys.Pushed,
+		settingkeys.OverShare: c.OverShareGain,
+
+		settingkeys.Join(settingkeys.May, settingkeys.CallOuts):       float64(c.MaxCallOuts),
+		settingkeys.Join(settingkeys.May, settingkeys.Overlap):        c.Overlap,
+		settingkeys.Join(settingkeys.May, settingkeys.Retract):        c.Retract,
+		settingkeys.Join(settingkeys.May, settingkeys.Check):          c.Check,
+		settingkeys.Join(settingkeys.May, settingkeys.ConnectTimeout): float64(c.ConnectTimeOut),
+		settingkeys.Join(settingkeys.May, settingkeys.ComeBack):       float64(c.RetryAfter),
+		settingkeys.Join(settingkeys.May, settingkeys.Advise):         c.Advise,
+
+		settingkeys.Join(settingkeys.Price, settingkeys.CrossZone): s.Price.CrossZone,
+
+		settingkeys.Join(settingkeys.Functions, settingkeys.KeepAlive):    float64(fn.KeepAlive),
+		settingkeys.Join(settingkeys.Functions, settingkeys.Orders):       fn.Orders,
+		settingkeys.Join(settingkeys.Functions, settingkeys.OrderTimeout): float64(fn.OrderTimeOut),
+		settingkeys.Join(settingkeys.Functions, settingkeys.LoadWindow):   float64(fn.LoadWindow),
+		settingkeys.Join(settingkeys.Functions, settingkeys.LoadFree):     fn.LoadFree,
+		settingkeys.Join(settingkeys.Functions, settingkeys.LoadShare):    fn.LoadShare,
+		settingkeys.Join(settingkeys.Functions, settingkeys.TellsWarm):    true,
+		settingkeys.Join(settingkeys.Functions, settingkeys.TellsCrowd):   true,
+
+		settingkeys.Join(settingkeys.Rules, settingkeys.Drain):        float64(r.Drain),
+		settingkeys.Join(settingkeys.Rules, settingkeys.Cold):         float64(r.Cold),
+		settingkeys.Join(settingkeys.Rules, settingkeys.ColdFrom):     r.ColdFrom,
+		settingkeys.Join(settingkeys.Rules, settingkeys.FallMultiple): r.FallMultiple,
+		settingkeys.Join(settingkeys.Rules, settingkeys.Fall):         float64(r.Fall),
+
+		settingkeys.Methods:   float64(len(s.Methods)),
+		settingkeys.Customers: float64(len(s.Customers)),
+	}
+	memory := settingkeys.Join(settingkeys.Functions, settingkeys.Memory)
 	out[memory] = float64(len(s.Kinds))
 	for i, k := range s.Kinds {
-		out[terms.Item(memory, i, "")] = k.Memory
+		out[settingkeys.Item(memory, i, "")] = k.Memory
 	}
-	values := terms.Join(terms.Report, terms.Values)
+	values := settingkeys.Join(settingkeys.Report, settingkeys.Values)
 	out[values] = float64(len(ReportValues))
 	for i, name := range ReportValues {
-		out[terms.Join(values, name)] = float64(i)
+		out[settingkeys.Join(values, name)] = float64(i)
 	}
 	for i, m := range s.Methods {
-		out[terms.Item(terms.Methods, i, terms.Gain)] = m.Gain
-		out[terms.Item(terms.Methods, i, terms.LateShare)] = m.LateShare
-		out[terms.Item(terms.Methods, i, terms.SoftDeadline)] = float64(m.Soft)
-		out[terms.Item(terms.Methods, i, terms.Deadline)] = float64(m.Deadline)
-		out[terms.Item(terms.Methods, i, terms.Effect)] = m.Effect
-		out[terms.Item(terms.Methods, i, terms.Group)] = m.Group
-		out[terms.Item(terms.Methods, i, terms.Window)] = float64(m.Window)
+		out[settingkeys.Item(settingkeys.Methods, i, settingkeys.Gain)] = m.Gain
+		out[settingkeys.Item(settingkeys.Methods, i, settingkeys.LateShare)] = m.LateShare
+		out[settingkeys.Item(settingkeys.Methods, i, settingkeys.SoftDeadline)] = float64(m.Soft)
+		out[settingkeys.Item(settingkeys.Methods, i, settingkeys.Deadline)] = float64(m.Deadline)
+		out[settingkeys.Item(settingkeys.Methods, i, settingkeys.Effect)] = m.Effect
+		out[settingkeys.Item(settingkeys.Methods, i, settingkeys.Group)] = m.Group
+		out[settingkeys.Item(settingkeys.Methods, i, settingkeys.Window)] = float64(m.Window)
 	}
 	for i, c := range s.Customers {
-		out[terms.Item(terms.Customers, i, terms.Quota)] = c.Quota
-		out[terms.Item(terms.Customers, i, terms.Share)] = c.Share
+		out[settingkeys.Item(settingkeys.Customers, i, settingkeys.Quota)] = c.Quota
+		out[settingkeys.Item(settingkeys.Customers, i, settingkeys.Share)] = c.Share
 	}
 	return out
 }
--- a/internal/pebble/codec.go
+++ b/internal/simadapter/codec.go
@@ -1,5 +1,5 @@
-// Package pebble speaks the wire pebble-9550 and hands its fields to one router for each instance.
-package pebble
+// Package simadapter speaks the wire pebble-9550 and hands its fields to one router for each instance.
+package simadapter
 
 import (
 	"encoding/binary"
--- a/internal/pebble/serve.go
+++ b/internal/simadapter/serve.go
@@ -1,4 +1,4 @@
-package pebble
+package simadapter
 
 import (
 	"bufio"
@@ -7,8 +7,8 @@
 	"io"
 	"math"
 
-	"mallowlanding/internal/core"
-	"mallowlanding/internal/site"
+	"mallowlanding/internal/operatorsettings"
+	"mallowlanding/internal/routing"
 	"mallowlanding/router"
 )
 
@@ -43,7 +43,7 @@
 type instance struct {
 	h      *host
 	number uint16
-	router *core.FrontEndRouter
+	router *routing.FrontEndRouter
 }
 
 // Serve answers batches until the end of input.
@@ -168,13 +168,13 @@
 	if r.err != nil {
 		return nil, r.err
 	}
-	s, err := site.Parse(text)
+	s, err := operatorsettings.Parse(text)
 	if err != nil {
 		return nil, err
 	}
 	in := &instance{h: h, number: number}
 	h.instances[number] = in
-	in.router = core.New(nil, in, h.now, int64(seed), s)
+	in.router = routing.New(nil, in, h.now, int64(seed), s)
 	return in, nil
 }
 
--- a/internal/pebble/serve_test.go
+++ b/internal/simadapter/serve_test.go
@@ -1,4 +1,4 @@
-package pebble
+package simadapter
 
 import (
 	"bytes"
--- a/internal/sock/sock.go
+++ b/internal/sockio/sock.go
@@ -1,5 +1,5 @@
-// Package sock writes to sockets, and looks at them, without waiting.
-package sock
+// Package sockio writes to sockets, and looks at them, without waiting.
+package sockio
 
 import (
 	"errors"
--- a/internal/standin/model.go
+++ b/internal/standin/model.go
@@ -10,10 +10,10 @@
 	"math/rand"
 	"slices"
 
+	"mallowlanding/internal/eventloop"
 	"mallowlanding/internal/jsonrpc"
 	"mallowlanding/internal/record"
 	"mallowlanding/internal/settings"
-	"mallowlanding/internal/turn"
 	"mallowlanding/router"
 )
 
@@ -44,7 +44,7 @@
 	begun  bool
 	ran    bool // its effect has happened, or is about to
 	over   bool
-	timer  turn.Timer
+	timer  eventloop.Timer
 	coreAt router.Time // when it got its core
 }
 
@@ -83,7 +83,7 @@
 type Model struct {
 	set        *settings.Worker
 	world      World
-	timers     *turn.Timers
+	timers     *eventloop.Timers
 	rng        *rand.Rand
 	now, born  router.Time
 	work       map[string]*settings.WorkMethod
@@ -123,7 +123,7 @@
 }
 
 // NewModel starts a worker at now; one that is not cold started long ago.
-func NewModel(set *settings.Worker, world World, timers *turn.Timers, now router.Time) *Model {
+func NewModel(set *settings.Worker, world World, timers *eventloop.Timers, now router.Time) *Model {
 	m := &Model{set: set, world: world, timers: timers, rng: rand.New(rand.NewSource(set.Seed)), now: now, born: now,
 		work: map[string]*settings.WorkMethod{}, fns: map[string]*copies{}, free: set.Machine.Cores}
 	if !set.Cold {
@@ -471,7 +471,7 @@
 			return
 		}
 		start := float64(fn.load) * share * math.Exp(0.3*m.rng.NormFloat64())
-		m.timers.Set(new(turn.Timer), m.now+router.Time(start), func(now router.Time) { m.now = now; m.loaded(fn, true) })
+		m.timers.Set(new(eventloop.Timer), m.now+router.Time(start), func(now router.Time) { m.now = now; m.loaded(fn, true) })
 	})
 }
 
--- a/internal/standin/roster.go
+++ b/internal/standin/roster.go
@@ -14,10 +14,10 @@
 	"golang.org/x/sync/errgroup"
 
 	"mallowlanding/internal/clients"
+	"mallowlanding/internal/eventloop"
 	"mallowlanding/internal/jsonrpc"
 	"mallowlanding/internal/record"
 	"mallowlanding/internal/settings"
-	"mallowlanding/internal/turn"
 	"mallowlanding/router"
 )
 
@@ -27,8 +27,8 @@
 	set    *settings.Roster
 	log    zerolog.Logger
 	rec    *record.Log
-	loop   *turn.Loop
-	timers turn.Timers
+	loop   *eventloop.Loop
+	timers eventloop.Timers
 
 	version  uint64
 	members  map[string]*membership
@@ -64,7 +64,7 @@
 	if err != nil {
 		return err
 	}
-	r := &roster{set: set, log: log, rec: rec, loop: turn.NewLoop(), members: map[string]*membership{},
+	r := &roster{set: set, log: log, rec: rec, loop: eventloop.NewLoop(), members: map[string]*membership{},
 		watchers: map[*rosterConn]bool{}}
 	var group errgroup.Group
 	if set.Store != nil {
@@ -134,7 +134,7 @@
 
 // after does something once the roster's lag is over.
 func (r *roster) after(f func()) {
-	r.timers.Set(new(turn.Timer), r.loop.Now()+r.set.Lag, func(router.Time) { f() })
+	r.timers.Set(new(eventloop.Timer), r.loop.Now()+r.set.Lag, func(router.Time) { f() })
 }
 
 // gone: the connection has ended, and with it the processes that joined on it.
@@ -201,22 +201,22 @@
 // none, and keeps the groups' memory of tokens. It belongs to one goroutine.
 type Shelf struct {
 	set    *settings.Store
-	timers *turn.Timers
+	timers *eventloop.Timers
 	inHand int
 	tokens map[string]router.Time // until when
 	swept  router.Time
 }
 
 // NewShelf makes an empty one.
-func NewShelf(set *settings.Store, timers *turn.Timers) *Shelf {
+func NewShelf(set *settings.Store, timers *eventloop.Timers) *Shelf {
 	return &Shelf{set: set, timers: timers, tokens: map[string]router.Time{}}
 }
 
 // store serves a Shelf on sockets.
 type store struct {
 	*Shelf
-	loop   *turn.Loop
-	timers turn.Timers
+	loop   *eventloop.Loop
+	timers eventloop.Timers
 }
 
 // BeginTurn implements turn.Machine.
@@ -229,7 +229,7 @@
 func (s *store) NextDue() (router.Time, bool) { return s.timers.NextDue() }
 
 func serveStore(ctx context.Context, set *settings.Store, l net.Listener) error {
-	s := &store{loop: turn.NewLoop()}
+	s := &store{loop: eventloop.NewLoop()}
 	s.Shelf = NewShelf(set, &s.timers)
 	var group errgroup.Group
 	group.Go(func() error { s.loop.Run(ctx, s); return nil })
@@ -282,7 +282,7 @@
 	s.inHand++
 	crowd := math.Max(1, float64(s.inHand)/float64(s.set.AtOnce))
 	took := float64(max(usual, s.set.Mean)) * crowd * (1 + s.set.Thrash*(crowd-1))
-	s.timers.Set(new(turn.Timer), now+router.Time(took), func(router.Time) {
+	s.timers.Set(new(eventloop.Timer), now+router.Time(took), func(router.Time) {
 		s.inHand--
 		done(true)
 	})
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -20,13 +20,13 @@
 	"golang.org/x/sync/errgroup"
 
 	"mallowlanding/internal/clients"
+	"mallowlanding/internal/eventloop"
 	"mallowlanding/internal/frames"
 	"mallowlanding/internal/jsonrpc"
-	"mallowlanding/internal/links"
 	"mallowlanding/internal/record"
 	"mallowlanding/internal/settings"
 	"mallowlanding/internal/tensor"
-	"mallowlanding/internal/turn"
+	"mallowlanding/internal/workerlink"
 	"mallowlanding/router"
 )
 
@@ -44,10 +44,10 @@
 	set    *settings.Worker
 	log    zerolog.Logger
 	rec    *record.Log
-	loop   *turn.Loop
-	timers turn.Timers
+	loop   *eventloop.Loop
+	timers eventloop.Timers
 	model  *Model
-	look   turn.Timer
+	look   eventloop.Timer
 	store  *jsonrpc.Caller
 	roster *jsonrpc.Caller
 	end    context.CancelCauseFunc
@@ -79,7 +79,7 @@
 	}
 	life, end := context.WithCancelCause(context.Background())
 	defer end(nil)
-	w := &worker{set: set, log: log.With().Str("worker", set.Name).Logger(), rec: rec, loop: turn.NewLoop(), end: end,
+	w := &worker{set: set, log: log.With().Str("worker", set.Name).Logger(), rec: rec, loop: eventloop.NewLoop(), end: end,
 		conns: map[*host]bool{}}
 	w.model = NewModel(set, w, &w.timers, w.loop.Now())
 	w.lookAt(w.loop.Now())
@@ -209,7 +209,7 @@
 }
 
 func (w *worker) lookAt(now router.Time) {
-	every := min(w.set.Machine.ReportEvery, turn.FromDuration(lookEvery))
+	every := min(w.set.Machine.ReportEvery, eventloop.FromDuration(lookEvery))
 	w.timers.Set(&w.look, now+every, func(now router.Time) {
 		w.model.Begin(now)
 		w.model.Look()
@@ -252,7 +252,7 @@
 	w.conns[h] = true
 	w.mu.Unlock()
 	ready := append(jsonrpc.AppendString([]byte(`{"worker":`), w.set.Name), `,"protocol":`...)
-	h.c.Write(jsonrpc.AppendRequest(nil, nil, "client.ready", append(strconv.AppendInt(ready, links.ProtocolVersion, 10), `,"codecs":["cbor"],"batches":true}`...)))
+	h.c.Write(jsonrpc.AppendRequest(nil, nil, "client.ready", append(strconv.AppendInt(ready, workerlink.ProtocolVersion, 10), `,"codecs":["cbor"],"batches":true}`...)))
 	_ = h.c.Serve(ctx, h)
 	w.mu.Lock()
 	delete(w.conns, h)
@@ -510,7 +510,7 @@
 // Fetch implements World.
 func (w *worker) Fetch(function string, usual router.Time, done func(ok bool)) {
 	if w.store == nil {
-		w.timers.Set(new(turn.Timer), w.loop.Now()+usual, func(now router.Time) { w.model.Begin(now); done(true) })
+		w.timers.Set(new(eventloop.Timer), w.loop.Now()+usual, func(now router.Time) { w.model.Begin(now); done(true) })
 		return
 	}
 	b := jsonrpc.AppendString([]byte(`{"function":`), function)
@@ -580,7 +580,7 @@
 		return
 	}
 	w.loop.Post(func() {
-		w.log.Info().Str("fault", method).Float64("size", size).Dur("for", turn.ToDuration(span)).Msg("fault on command")
+		w.log.Info().Str("fault", method).Float64("size", size).Dur("for", eventloop.ToDuration(span)).Msg("fault on command")
 		do()
 		c.c.Write(jsonrpc.AppendResult(nil, key, []byte("true")))
 	})
@@ -588,7 +588,7 @@
 
 // closeSoon closes once the half-written frame has left.
 func (w *worker) closeSoon(h *host) {
-	w.timers.Set(new(turn.Timer), w.loop.Now()+50, func(router.Time) { h.c.Close() })
+	w.timers.Set(new(eventloop.Timer), w.loop.Now()+50, func(router.Time) { h.c.Close() })
 }
 
 func (w *worker) each(f func(*host)) {
--- a/internal/thrift/conn.go
+++ b/internal/thrift/conn.go
@@ -12,10 +12,10 @@
 	"sync/atomic"
 	"time"
 
+	"mallowlanding/internal/dispatch"
 	"mallowlanding/internal/engine"
-	"mallowlanding/internal/front"
-	"mallowlanding/internal/sock"
-	"mallowlanding/internal/turn"
+	"mallowlanding/internal/eventloop"
+	"mallowlanding/internal/sockio"
 	"mallowlanding/router"
 )
 
@@ -23,7 +23,7 @@
 type conn struct {
 	s       *Server
 	nc      net.Conn
-	now     sock.Socket
+	now     sockio.Socket
 	since   atomic.Int64 // when it last sent a message or had an answer, Unix ns
 	spoke   atomic.Bool  // it sent a whole message
 	strikes atomic.Int32 // messages that could not be served, one after the other
@@ -37,7 +37,7 @@
 	writing bool      // a goroutine writes them
 
 	// the loop's
-	desk  *front.Conn
+	desk  *dispatch.Conn
 	last  int32 // number of the last RPC
 	ok    int   // RPCs that it was answered ok
 	asks  map[int32]*pending
@@ -51,11 +51,11 @@
 	c      *conn
 	seq    int32
 	ticket uint64
-	ask    *front.Request
+	ask    *dispatch.Request
 }
 
 func newConn(s *Server, nc net.Conn) *conn {
-	c := &conn{s: s, nc: nc, now: sock.NewSocket(nc), asks: map[int32]*pending{}}
+	c := &conn{s: s, nc: nc, now: sockio.NewSocket(nc), asks: map[int32]*pending{}}
 	c.since.Store(time.Now().UnixNano())
 	return c
 }
@@ -253,7 +253,7 @@
 			c.asks[seq] = a
 			c.s.tickets[0][a.ticket] = a
 			c.s.o.Log.Debug().Float64("budget", p.TimeoutMS).Bool("again", p.Repeat).Int("method", p.Method).Msg("take")
-			a.ask = c.at().Submit(p, turn.FromDuration(time.Since(came)), a)
+			a.ask = c.at().Submit(p, eventloop.FromDuration(time.Since(came)), a)
 		}
 	})
 }
@@ -299,7 +299,7 @@
 }
 
 // at is the connection's place at the desk; in a turn.
-func (c *conn) at() *front.Conn {
+func (c *conn) at() *dispatch.Conn {
 	if c.desk == nil {
 		c.desk = c.s.desk.OpenConn(0)
 	}
@@ -420,13 +420,13 @@
 }
 
 // params reads an RPC's fields; any goroutine may. Nothing unchecked passes here.
-func (s *Server) params(fields map[string]string, body []byte) (p front.Params, err error) {
+func (s *Server) params(fields map[string]string, body []byte) (p dispatch.Params, err error) {
 	method, known := s.desk.MethodIndex(fields["method"])
 	budget, err := figure(fields["budget"], budgetMost)
 	if err != nil {
 		return p, fmt.Errorf(`"budget": %w`, err)
 	}
-	p = front.Params{Method: method, Function: fields["obj"], Customer: fields["acct"], Token: fields["token"],
+	p = dispatch.Params{Method: method, Function: fields["obj"], Customer: fields["acct"], Token: fields["token"],
 		ClientRPCID: fields["rid"], TimeoutMS: budget, Blob: body, Repeat: fields["again"] != ""}
 	again, marked := fields["again"]
 	switch {
--- a/internal/thrift/server.go
+++ b/internal/thrift/server.go
@@ -11,8 +11,8 @@
 
 	"github.com/rs/zerolog"
 
-	"mallowlanding/internal/front"
-	"mallowlanding/internal/turn"
+	"mallowlanding/internal/dispatch"
+	"mallowlanding/internal/eventloop"
 	"mallowlanding/router"
 )
 
@@ -48,8 +48,8 @@
 type Server struct {
 	o      Options
 	bounds atomic.Pointer[Limits]
-	loop   *turn.Loop
-	desk   *front.Dispatcher
+	loop   *eventloop.Loop
+	desk   *dispatch.Dispatcher
 	held   atomic.Int32 // descriptors of connections, from their accept to the end of their close
 	mu     sync.Mutex
 	conns  map[*conn]bool
@@ -61,7 +61,7 @@
 }
 
 // New makes a server for a desk that loop drives.
-func New(loop *turn.Loop, d *front.Dispatcher, o Options) *Server {
+func New(loop *eventloop.Loop, d *dispatch.Dispatcher, o Options) *Server {
 	s := &Server{o: o, loop: loop, desk: d, conns: map[*conn]bool{}, tickets: [2]map[uint64]*pending{{}, {}}}
 	s.bounds.Store(&o.Limits)
 	return s
@@ -173,7 +173,7 @@
 
 // BeginTurn tells the time of a turn.
 func (s *Server) BeginTurn(now router.Time) {
-	if s.now = now; now-s.changed >= turn.FromDuration(ticketsFor) {
+	if s.now = now; now-s.changed >= eventloop.FromDuration(ticketsFor) {
 		s.tickets, s.changed = [2]map[uint64]*pending{{}, s.tickets[0]}, now
 	}
 }
--- a/internal/thrift/server_test.go
+++ b/internal/thrift/server_test.go
@@ -12,9 +12,9 @@
 	"github.com/rs/zerolog"
 	"go.uber.org/goleak"
 
+	"mallowlanding/internal/dispatch"
 	"mallowlanding/internal/engine"
-	"mallowlanding/internal/front"
-	"mallowlanding/internal/turn"
+	"mallowlanding/internal/eventloop"
 	"mallowlanding/router"
 )
 
@@ -35,9 +35,9 @@
 // serve runs a server without workers; over is closed once it takes no more connections.
 func serve(t *testing.T, b Limits) (s *Server, l net.Listener, over chan bool) {
 	before := goleak.IgnoreCurrent()
-	loop := turn.NewLoop()
+	loop := eventloop.NewLoop()
 	e := engine.New(engine.Options{Settings: router.Settings{}, Now: loop.Now(), Log: func(string) {}})
-	s = New(loop, front.New(e, front.Options{NoJoin: true}), Options{Limits: b, Ready: func() bool { return true }, Log: zerolog.Nop()})
+	s = New(loop, dispatch.New(e, dispatch.Options{NoJoin: true}), Options{Limits: b, Ready: func() bool { return true }, Log: zerolog.Nop()})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/links/link.go
+++ b/internal/workerlink/link.go
@@ -1,8 +1,8 @@
-// Package links is a front end's side towards its workers: one connection to each, JSON-RPC 2.0 both ways, as
+// Package workerlink is a front end's side towards its workers: one connection to each, JSON-RPC 2.0 both ways, as
 // docs/protocol.md words it. A link tells the engine how each call-out ended, and of one that it could not deliver,
 // whether that proves that it never ran: a call-out none of whose bytes was given to the socket never ran; one of
 // which a byte was may have.
-package links
+package workerlink
 
 import (
 	"bytes"
@@ -21,10 +21,10 @@
 
 	"mallowlanding/internal/batch"
 	"mallowlanding/internal/engine"
+	"mallowlanding/internal/eventloop"
 	"mallowlanding/internal/frames"
 	"mallowlanding/internal/jsonrpc"
-	"mallowlanding/internal/sock"
-	"mallowlanding/internal/turn"
+	"mallowlanding/internal/sockio"
 	"mallowlanding/router"
 )
 
@@ -55,7 +55,7 @@
 // Set has a front end's links. All of its methods are for turns of the loop alone, but Run.
 type Set struct {
 	o      Options
-	loop   *turn.Loop
+	loop   *eventloop.Loop
 	engine *engine.Engine
 	links  map[string]*Link
 	group  errgroup.Group
@@ -79,7 +79,7 @@
 }
 
 // New makes a set whose links live until the context ends.
-func New(ctx context.Context, loop *turn.Loop, e *engine.Engine, o Options) *Set {
+func New(ctx context.Context, loop *eventloop.Loop, e *engine.Engine, o Options) *Set {
 	return &Set{o: o, loop: loop, engine: e, links: map[string]*Link{}, ctx: ctx,
 		batches: batch.New[riders, engine.CallOutID](), waiting: map[engine.CallOutID]rider{}}
 }
@@ -155,7 +155,7 @@
 
 // stream is what goes out on one connection; nothing handed to it ever goes out on another.
 type stream struct {
-	now     sock.Socket
+	now     sockio.Socket
 	binary  bool   // the loop's: the codec agreed on
 	batches bool   // the loop's: the worker takes host.batch
 	total   uint64 // the loop's: bytes handed to the writer
@@ -516,7 +516,7 @@
 	}
 	stop := context.AfterFunc(l.ctx, func() { nc.Close() })
 	defer stop()
-	st := &stream{now: sock.NewSocket(nc)}
+	st := &stream{now: sockio.NewSocket(nc)}
 	st.more = sync.NewCond(&st.mu)
 	p := &peer{l: l, nc: nc, st: st}
 	if err := nc.SetReadDeadline(time.Now().Add(l.s.o.ConnectTimeout)); err != nil {
--- a/internal/links/order.go
+++ b/internal/workerlink/order.go
@@ -1,4 +1,4 @@
-package links
+package workerlink
 
 import (
 	"cmp"
