--- a/internal/clients/clients_test.go
+++ b/internal/clients/clients_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// A path that a dead process left is taken over; one that is served, or no socket at all, is an error and stays.
+// TestListen checks that Listen replaces the socket of a dead process, and fails without touching a socket that a live
+// process serves or a file that is not a socket.
 func TestListen(t *testing.T) {
 	dir, err := os.MkdirTemp("", "ml")
 	if err != nil {
@@ -21,30 +22,30 @@
 		t.Fatal(err)
 	}
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o660 {
-		t.Errorf("mode %v, %v", info.Mode(), err)
+		t.Errorf("socket mode %v, error %v, want 0660", info.Mode(), err)
 	}
-	if _, err := Listen(path, 0o600); err == nil || !strings.Contains(err.Error(), "a live process serves it") {
-		t.Errorf("beside a live one: %v", err)
+	if _, err := Listen(path, 0o600); err == nil || !strings.Contains(err.Error(), "in use by a live process") {
+		t.Errorf("Listen on the socket of a live process: %v", err)
 	}
 	if c, err := net.Dial("unix", path); err != nil {
-		t.Errorf("the live one is disturbed: %v", err)
+		t.Errorf("the live process no longer accepts connections: %v", err)
 	} else {
 		c.Close()
 	}
-	first.(*net.UnixListener).SetUnlinkOnClose(false) // as a killed process leaves it
+	first.(*net.UnixListener).SetUnlinkOnClose(false) // a killed process leaves its socket behind
 	first.Close()
 	second, err := Listen(path, 0o600)
 	if err != nil {
-		t.Fatalf("after a dead one: %v", err)
+		t.Fatalf("Listen on the socket of a dead process: %v", err)
 	}
 	second.Close()
 	if err := os.WriteFile(path, []byte("kept"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Listen(path, 0o600); err == nil || !strings.Contains(err.Error(), "no socket") {
-		t.Errorf("over a file: %v", err)
+	if _, err := Listen(path, 0o600); err == nil || !strings.Contains(err.Error(), "not a socket") {
+		t.Errorf("Listen on the path of a file: %v", err)
 	}
 	if text, _ := os.ReadFile(path); string(text) != "kept" {
-		t.Errorf("the file holds %q", text)
+		t.Errorf("the file was changed to %q", text)
 	}
 }
--- a/internal/clients/conn.go
+++ b/internal/clients/conn.go
@@ -26,90 +26,90 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// lookAgain is how often a client that closed its sending side is looked at: is it gone altogether?
-const lookAgain = 20 * time.Millisecond
+// closedPollInterval is how often a half-closed connection is checked for being closed on both sides.
+const closedPollInterval = 20 * time.Millisecond
 
-// conn is one client's connection: a goroutine that reads, one that writes; its RPCs belong to the loop's.
+// conn is a client's connection. One goroutine reads, one writes; its RPCs are handled on the event loop's goroutine.
 type conn struct {
-	s       *Server
-	nc      net.Conn
-	now     sockio.Socket
-	dec     jsonrpc.Decoder
-	headers atomic.Bool
-	right   access.Permissions
-	peer    admission.PeerID
-	turns   chan struct{} // room for RPCs that are on their way to the loop
-	batch   *batch        // the one that the reader is in
+	server      *Server
+	nc          net.Conn
+	socket      sockio.Socket
+	dec         jsonrpc.Decoder
+	useHeaders  atomic.Bool
+	permissions access.Permissions
+	peer        admission.PeerID
+	submitSlots chan struct{} // limits the RPCs posted to the event loop and not yet received by it
+	batch       *batch        // the batch being read; nil: none
 
 	mu      sync.Mutex
-	out     []byte // answers not yet taken by the writer
-	writing int    // bytes that it has taken
-	ended   bool   // nothing more is read, or nothing more can be written
-	more    *sync.Cond
+	unsent  []byte // queued answers, not yet taken by the writer
+	writing int    // bytes that the writer has taken and not yet written
+	ended   bool   // reading is over, or writing has failed
+	changed *sync.Cond
 
-	// the loop's
-	desk  *dispatch.Conn
-	byID  map[string]*pending
-	dirty bool // it has answers of this turn
+	// used on the event loop's goroutine only
+	dispatchConn *dispatch.Conn
+	byID         map[string]*pending
+	dirty        bool // it is in server.dirtyConns
 }
 
-// pending is one RPC of the connection, or one part of a batch: where its answer goes. It is the desk's Reply; ask
-// belongs to the loop's goroutine.
+// pending is a message of the connection that awaits an answer: an RPC, another request or an element of a batch. It
+// implements dispatch.Responder; request is used on the event loop's goroutine only.
 type pending struct {
-	c     *conn
-	id    jsonrpc.ID // empty: a notification
-	batch *batch
-	ask   *dispatch.Request
+	conn    *conn
+	id      jsonrpc.ID // empty: a notification
+	batch   *batch
+	request *dispatch.Request
 }
 
-// batch gathers answers until all its parts have theirs.
+// batch collects the answers of a JSON-RPC batch and sends them together.
 type batch struct {
-	c    *conn
-	mu   sync.Mutex
-	left int // parts without an answer, and one for the reader
-	out  []byte
+	conn      *conn
+	mu        sync.Mutex
+	remaining int // elements without an answer, plus one while the batch is being read
+	out       []byte
 }
 
-func newConn(s *Server, nc net.Conn, peer admission.PeerID, right access.Permissions) *conn {
-	c := &conn{s: s, nc: nc, now: sockio.NewSocket(nc), turns: make(chan struct{}, s.o.Limits.OpenRPCs), byID: map[string]*pending{}, right: right}
+func newConn(s *Server, nc net.Conn, peer admission.PeerID, permissions access.Permissions) *conn {
+	c := &conn{server: s, nc: nc, socket: sockio.NewSocket(nc), submitSlots: make(chan struct{}, s.opts.Limits.OpenRPCs), byID: map[string]*pending{}, permissions: permissions}
 	c.peer = peer
-	c.more = sync.NewCond(&c.mu)
+	c.changed = sync.NewCond(&c.mu)
 	return c
 }
 
-// serve reads until the client's side ends, and then waits for what is open.
+// serve reads requests until the client closes its sending side, and then waits until the open ones are answered.
 func (c *conn) serve(ctx context.Context) {
 	written := make(chan struct{})
 	go func() { defer close(written); c.write() }()
-	why := c.read()
-	if errors.Is(why, io.EOF) || errors.Is(why, io.ErrUnexpectedEOF) {
+	readErr := c.read()
+	if errors.Is(readErr, io.EOF) || errors.Is(readErr, io.ErrUnexpectedEOF) {
 		c.awaitAnswers(ctx)
-	} else if ctx.Err() == nil && !errors.Is(why, net.ErrClosed) && !errors.Is(why, syscall.ECONNRESET) {
-		c.s.o.Log.Info().Err(why).Msg("a client's connection ends")
-		c.say(jsonrpc.AppendError(nil, jsonrpc.NullID, jsonrpc.ParseError, "framing: "+why.Error(), nil))
+	} else if ctx.Err() == nil && !errors.Is(readErr, net.ErrClosed) && !errors.Is(readErr, syscall.ECONNRESET) {
+		c.server.opts.Log.Info().Err(readErr).Msg("client connection ended: unreadable input")
+		c.enqueue(jsonrpc.AppendError(nil, jsonrpc.NullID, jsonrpc.ParseError, "framing: "+readErr.Error(), nil))
 		c.awaitAnswers(ctx)
 	}
-	c.s.loop.Post(c.leave)
+	c.server.loop.Post(c.closeDispatchConn)
 	c.mu.Lock()
 	c.ended = true
-	c.more.Broadcast()
+	c.changed.Broadcast()
 	c.mu.Unlock()
 	<-written
 	c.nc.Close()
-	c.s.mu.Lock()
-	delete(c.s.conns, c)
-	c.s.mu.Unlock()
+	c.server.mu.Lock()
+	delete(c.server.conns, c)
+	c.server.mu.Unlock()
 }
 
-// read takes values until the stream ends or can't be followed.
+// read handles JSON values until the stream ends or its framing is invalid.
 func (c *conn) read() error {
-	r := jsonrpc.NewReader(c.nc, c.s.o.Limits.ValueBytes)
+	r := jsonrpc.NewReader(c.nc, c.server.opts.Limits.ValueBytes)
 	for {
 		value, err := r.Next()
-		c.headers.Store(r.HasHeaders())
+		c.useHeaders.Store(r.HasHeaders())
 		if err == jsonrpc.ErrTooLarge {
-			c.say(jsonrpc.AppendError(nil, jsonrpc.NullID, jsonrpc.InvalidRequest,
-				fmt.Sprintf("a value of more than %d bytes", c.s.o.Limits.ValueBytes), nil))
+			c.enqueue(jsonrpc.AppendError(nil, jsonrpc.NullID, jsonrpc.InvalidRequest,
+				fmt.Sprintf("a value of more than %d bytes", c.server.opts.Limits.ValueBytes), nil))
 			continue
 		}
 		if err != nil {
@@ -117,97 +117,100 @@
 		}
 		c.dec.Decode(value, c)
 		c.mu.Lock()
-		for len(c.out)+c.writing > c.s.o.Limits.AnswerBytes && !c.ended { // it reads too slowly
-			c.more.Wait()
+		for len(c.unsent)+c.writing > c.server.opts.Limits.AnswerBytes && !c.ended { // the client reads too slowly
+			c.changed.Wait()
 		}
 		c.mu.Unlock()
 	}
 }
 
-// awaitAnswers: the client sends no more. It may have closed just that side and still wait for its answers.
+// awaitAnswers waits until nothing is open on the connection, or the client has closed both sides. A client may close
+// its sending side and still read its answers.
 func (c *conn) awaitAnswers(ctx context.Context) {
-	for ctx.Err() == nil && !c.peerGone() {
-		none := make(chan bool, 1)
-		if !c.s.loop.Post(func() { none <- c.at().OpenRPCs() == 0 }) || <-none && c.waiting() == 0 {
+	for ctx.Err() == nil && !c.peerClosed() {
+		idle := make(chan bool, 1)
+		if !c.server.loop.Post(func() { idle <- c.openDispatchConn().OpenRPCs() == 0 }) || <-idle && c.unsentBytes() == 0 {
 			return
 		}
 		select {
-		case <-time.After(lookAgain):
+		case <-time.After(closedPollInterval):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// peerGone tells whether the client has closed both sides, or the socket is broken.
-func (c *conn) peerGone() bool {
+// peerClosed reports whether the client has closed both sides, or the socket has failed.
+func (c *conn) peerClosed() bool {
 	raw, err := c.nc.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return true
 	}
-	gone := false
+	closed := false
 	err = raw.Control(func(fd uintptr) {
 		fds := []unix.PollFd{{Fd: int32(fd)}}
 		n, err := unix.Poll(fds, 0)
-		gone = err == nil && n > 0 && fds[0].Revents&(unix.POLLHUP|unix.POLLERR) != 0
+		closed = err == nil && n > 0 && fds[0].Revents&(unix.POLLHUP|unix.POLLERR) != 0
 	})
-	return gone || err != nil
+	return closed || err != nil
 }
 
-// leave ends what is open; in a turn.
-func (c *conn) leave() {
-	if c.desk != nil {
-		c.desk.Close()
+// closeDispatchConn abandons the connection's open RPCs. It runs in a turn of the event loop.
+func (c *conn) closeDispatchConn() {
+	if c.dispatchConn != nil {
+		c.dispatchConn.Close()
 	}
 }
 
-// at is the connection's place at the desk; in a turn.
-func (c *conn) at() *dispatch.Conn {
-	if c.desk == nil {
-		c.desk = c.s.desk.OpenConn(c.peer)
+// openDispatchConn returns the dispatcher's handle of the connection and opens it at the first call. It runs in a turn
+// of the event loop.
+func (c *conn) openDispatchConn() *dispatch.Conn {
+	if c.dispatchConn == nil {
+		c.dispatchConn = c.server.dispatcher.OpenConn(c.peer)
 	}
-	return c.desk
+	return c.dispatchConn
 }
 
-func (c *conn) waiting() int {
+func (c *conn) unsentBytes() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.out) + c.writing
+	return len(c.unsent) + c.writing
 }
 
-// say hands a value to the writer.
-func (c *conn) say(value []byte) {
+// enqueue queues a value and wakes the writer.
+func (c *conn) enqueue(value []byte) {
 	c.mu.Lock()
 	if !c.ended {
-		c.out = jsonrpc.AppendFrame(c.out, value, c.headers.Load())
-		c.more.Broadcast()
+		c.unsent = jsonrpc.AppendFrame(c.unsent, value, c.useHeaders.Load())
+		c.changed.Broadcast()
 	}
 	c.mu.Unlock()
 }
 
-// sayLater hands over a value that leaves at the turn's end; in a turn.
-func (c *conn) sayLater(value []byte) {
+// enqueueInTurn queues a value that flush sends at the end of the turn. It runs in a turn of the event loop.
+func (c *conn) enqueueInTurn(value []byte) {
 	c.mu.Lock()
 	if !c.ended {
-		c.out = jsonrpc.AppendFrame(c.out, value, c.headers.Load())
+		c.unsent = jsonrpc.AppendFrame(c.unsent, value, c.useHeaders.Load())
 	}
 	c.mu.Unlock()
 	if !c.dirty {
 		c.dirty = true
-		c.s.dirty = append(c.s.dirty, c)
+		c.server.dirtyConns = append(c.server.dirtyConns, c)
 	}
 }
 
-// flush writes what the socket takes at once; the rest is the writer's. It saves a change of goroutines for each turn.
+// flush writes what the socket accepts without blocking and leaves the rest to the writer. This saves a switch of
+// goroutines in each turn.
 func (c *conn) flush() {
 	c.dirty = false
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.writing == 0 && len(c.out) > 0 && !c.ended {
-		n := c.now.TryWrite(c.out)
-		c.out = c.out[:copy(c.out, c.out[n:])]
+	if c.writing == 0 && len(c.unsent) > 0 && !c.ended {
+		n := c.socket.TryWrite(c.unsent)
+		c.unsent = c.unsent[:copy(c.unsent, c.unsent[n:])]
 	}
-	if len(c.out) > 0 {
-		c.more.Broadcast()
+	if len(c.unsent) > 0 {
+		c.changed.Broadcast()
 	}
 }
 
@@ -215,68 +218,68 @@
 	var spare []byte
 	for {
 		c.mu.Lock()
-		for len(c.out) == 0 && !c.ended {
-			c.more.Wait()
+		for len(c.unsent) == 0 && !c.ended {
+			c.changed.Wait()
 		}
-		if len(c.out) == 0 {
+		if len(c.unsent) == 0 {
 			c.mu.Unlock()
 			return
 		}
-		out := c.out
-		c.out, c.writing = spare[:0], len(out)
+		out := c.unsent
+		c.unsent, c.writing = spare[:0], len(out)
 		c.mu.Unlock()
 		err := c.writeAll(out)
 		c.mu.Lock()
 		c.writing = 0
 		if err != nil {
-			c.ended, c.out = true, nil
+			c.ended, c.unsent = true, nil
 		}
-		c.more.Broadcast()
+		c.changed.Broadcast()
 		c.mu.Unlock()
 		if spare = out; cap(spare) > 1<<16 {
 			spare = nil
 		}
 		if err != nil {
-			if errors.Is(err, syscall.ETIMEDOUT) || isTimeOut(err) {
-				c.s.o.Log.Warn().Dur("for", c.s.o.Limits.WriteTimeout).Msg("a client that reads nothing is cut off")
+			if errors.Is(err, syscall.ETIMEDOUT) || isTimeout(err) {
+				c.server.opts.Log.Warn().Dur("for", c.server.opts.Limits.WriteTimeout).Msg("connection closed: client reads no answers")
 			}
-			c.nc.Close() // the reader sees it
+			c.nc.Close() // ends the reader
 			return
 		}
 	}
 }
 
-func isTimeOut(err error) bool {
-	var t net.Error
-	return errors.As(err, &t) && t.Timeout()
+func isTimeout(err error) bool {
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// writeAll gives up once nothing was taken for the time-out.
+// writeAll writes all of out; it fails when no byte is accepted within the write timeout.
 func (c *conn) writeAll(out []byte) error {
 	for len(out) > 0 {
-		if err := c.nc.SetWriteDeadline(time.Now().Add(c.s.o.Limits.WriteTimeout)); err != nil {
+		if err := c.nc.SetWriteDeadline(time.Now().Add(c.server.opts.Limits.WriteTimeout)); err != nil {
 			return err
 		}
 		part := out[:min(len(out), 1<<18)]
 		n, err := c.nc.Write(part)
-		if out = out[n:]; err != nil && !(n > 0 && isTimeOut(err)) {
+		if out = out[n:]; err != nil && !(n > 0 && isTimeout(err)) {
 			return err
 		}
 	}
 	return nil
 }
 
-// BeginBatch implements jsonrpc.Peer.
-func (c *conn) BeginBatch() { c.batch = &batch{c: c, left: 1} }
+// BeginBatch implements jsonrpc.Handler.
+func (c *conn) BeginBatch() { c.batch = &batch{conn: c, remaining: 1} }
 
-// EndBatch implements jsonrpc.Peer.
+// EndBatch implements jsonrpc.Handler.
 func (c *conn) EndBatch() {
 	b := c.batch
 	c.batch = nil
 	b.add(nil)
 }
 
-// add takes one part's answer, nil for none; the last one has the batch sent.
+// add adds the answer to one element, nil for none, and sends the batch when it is complete.
 func (b *batch) add(answer []byte) {
 	b.mu.Lock()
 	if answer != nil {
@@ -286,111 +289,113 @@
 		}
 		b.out = append(append(b.out, sep), answer...)
 	}
-	b.left--
-	done := b.left == 0
+	b.remaining--
+	done := b.remaining == 0
 	b.mu.Unlock()
 	if done && len(b.out) > 0 {
-		b.c.say(append(b.out, ']'))
+		b.conn.enqueue(append(b.out, ']'))
 	}
 }
 
-// part makes the place for an answer.
-func (c *conn) part(id jsonrpc.ID) *pending {
-	p := &pending{c: c, id: bytes.Clone(id), batch: c.batch}
+// newPending registers a message that awaits an answer, as an element of the current batch if there is one.
+func (c *conn) newPending(id jsonrpc.ID) *pending {
+	p := &pending{conn: c, id: bytes.Clone(id), batch: c.batch}
 	if c.batch != nil {
 		c.batch.mu.Lock()
-		c.batch.left++
+		c.batch.remaining++
 		c.batch.mu.Unlock()
 	}
 	return p
 }
 
-// answer sends what append makes; notifications get none.
-func (p *pending) answer(inTurn bool, append func(out []byte, id jsonrpc.ID) []byte) {
+// send sends the answer that appendTo builds, or none if the message is a notification.
+func (p *pending) send(inTurn bool, appendTo func(out []byte, id jsonrpc.ID) []byte) {
 	var value []byte
 	if len(p.id) > 0 {
-		value = append(nil, p.id)
-		if change := p.c.s.o.RewriteAnswer; change != nil {
-			value = change(value)
+		value = appendTo(nil, p.id)
+		if rewrite := p.conn.server.opts.RewriteAnswer; rewrite != nil {
+			value = rewrite(value)
 		}
 	}
 	switch {
 	case p.batch != nil:
 		p.batch.add(value)
 	case value != nil && inTurn:
-		p.c.sayLater(value)
+		p.conn.enqueueInTurn(value)
 	case value != nil:
-		p.c.say(value)
+		p.conn.enqueue(value)
 	}
 }
 
-func (p *pending) fail(code int, message string) {
-	p.answer(false, func(out []byte, id jsonrpc.ID) []byte {
+func (p *pending) sendError(code int, message string) {
+	p.send(false, func(out []byte, id jsonrpc.ID) []byte {
 		return jsonrpc.AppendError(out, id, code, message, nil)
 	})
 }
 
-// HandleInvalid implements jsonrpc.Peer.
-func (c *conn) HandleInvalid(id jsonrpc.ID, code int, message string) { c.part(id).fail(code, message) }
+// HandleInvalid implements jsonrpc.Handler.
+func (c *conn) HandleInvalid(id jsonrpc.ID, code int, message string) {
+	c.newPending(id).sendError(code, message)
+}
 
-// HandleResponse implements jsonrpc.Peer: clients owe no answers.
+// HandleResponse implements jsonrpc.Handler. The front end sends clients no requests, so every response is invalid.
 func (c *conn) HandleResponse(id jsonrpc.ID, _ []byte, _ int, _ string, _ []byte) {
-	c.part(id).fail(jsonrpc.InvalidRequest, "a response, where nothing was asked")
+	c.newPending(id).sendError(jsonrpc.InvalidRequest, "unexpected response: the front end sends no requests")
 }
 
-// HandleRequest implements jsonrpc.Peer.
+// HandleRequest implements jsonrpc.Handler.
 func (c *conn) HandleRequest(id jsonrpc.ID, method string, raw []byte) {
-	p := c.part(id)
-	m, known := c.s.desk.MethodIndex(method)
+	p := c.newPending(id)
+	methodIndex, known := c.server.dispatcher.MethodIndex(method)
 	if method == "rpc.cancel" {
-		c.askedToCancel(p, raw)
+		c.handleCancel(p, raw)
 		return
 	}
-	if method == "rpc.status" && c.s.o.Status != nil {
-		c.s.loop.Post(func() {
-			p.answer(true, func(out []byte, id jsonrpc.ID) []byte { return jsonrpc.AppendResult(out, id, c.s.o.Status()) })
+	if method == "rpc.status" && c.server.opts.Status != nil {
+		c.server.loop.Post(func() {
+			p.send(true, func(out []byte, id jsonrpc.ID) []byte { return jsonrpc.AppendResult(out, id, c.server.opts.Status()) })
 		})
 		return
 	}
 	if !known {
-		p.fail(jsonrpc.MethodNotFound, fmt.Sprintf("no method %.80q", method))
+		p.sendError(jsonrpc.MethodNotFound, fmt.Sprintf("no method %.80q", method))
 		return
 	}
-	ps, err := readParams(raw)
-	ps.Method = m
+	params, err := readParams(raw)
+	params.Method = methodIndex
 	if err == nil {
-		if err = c.s.desk.Validate(&ps); err != nil {
+		if err = c.server.dispatcher.Validate(&params); err != nil {
 			err = fmt.Errorf("params: %w", err)
 		}
 	}
 	if err != nil {
-		p.fail(jsonrpc.InvalidParams, err.Error())
+		p.sendError(jsonrpc.InvalidParams, err.Error())
 		return
 	}
-	if err := c.right.Check(method, ps.Customer); err != nil {
-		p.fail(PermissionDenied, err.Error())
+	if err := c.permissions.Check(method, params.Customer); err != nil {
+		p.sendError(PermissionDenied, err.Error())
 		return
 	}
-	came := time.Now()
-	c.turns <- struct{}{}
-	if !c.s.loop.Post(func() {
-		<-c.turns
-		c.take(p, ps, came)
+	received := time.Now()
+	c.submitSlots <- struct{}{}
+	if !c.server.loop.Post(func() {
+		<-c.submitSlots
+		c.submit(p, params, received)
 	}) {
-		<-c.turns
-		p.fail(Denied, "denied: the front end has stopped")
+		<-c.submitSlots
+		p.sendError(Denied, "denied: the front end has stopped")
 	}
 }
 
-func readParams(raw []byte) (ps dispatch.Params, err error) {
-	ps.TimeoutMS = -1
+func readParams(raw []byte) (params dispatch.Params, err error) {
+	params.TimeoutMS = -1
 	if len(raw) == 0 || raw[0] != '{' {
-		return ps, errors.New("params must be an object that names them")
+		return params, errors.New("params must be an object with named members")
 	}
 	seen := map[string]bool{}
-	text := func(to *string, name string, v jsontext.Value) error {
-		s, is := jsonrpc.ParseString(v)
-		if *to = s; !is {
+	parseString := func(to *string, name string, v jsontext.Value) error {
+		s, ok := jsonrpc.ParseString(v)
+		if *to = s; !ok {
 			return fmt.Errorf("params: %q must be a string", name)
 		}
 		return nil
@@ -398,57 +403,57 @@
 	err = jsonrpc.ForEachMember(raw, func(name []byte, v jsontext.Value) error {
 		n := string(name)
 		if seen[n] {
-			return fmt.Errorf("params: %.80q stands twice", n)
+			return fmt.Errorf("params: duplicate name %.80q", n)
 		}
 		seen[n] = true
 		switch n {
 		case "function":
-			return text(&ps.Function, n, v)
+			return parseString(&params.Function, n, v)
 		case "customer":
-			return text(&ps.Customer, n, v)
+			return parseString(&params.Customer, n, v)
 		case "token":
-			return text(&ps.Token, n, v)
+			return parseString(&params.Token, n, v)
 		case "time_ms":
-			t, is := jsonrpc.ParseNumber(v)
-			if ps.TimeoutMS = t; !is || t < 0 {
+			timeout, ok := jsonrpc.ParseNumber(v)
+			if params.TimeoutMS = timeout; !ok || timeout < 0 {
 				return errors.New(`params: "time_ms" must be a number of at least 0`)
 			}
 		case "repeat":
-			if ps.Repeat = v.Kind() == 't'; v.Kind() != 't' && v.Kind() != 'f' {
+			if params.Repeat = v.Kind() == 't'; v.Kind() != 't' && v.Kind() != 'f' {
 				return errors.New(`params: "repeat" must be true or false`)
 			}
 		case "payload":
-			ps.Payload = bytes.Clone(v)
+			params.Payload = bytes.Clone(v)
 		default:
 			return fmt.Errorf("params: unknown name %.80q", n)
 		}
 		return nil
 	})
-	return ps, err
+	return params, err
 }
 
-// askedToCancel takes rpc.cancel: its answer tells whether an RPC of that id was open on this connection.
-func (c *conn) askedToCancel(p *pending, raw []byte) {
+// handleCancel handles rpc.cancel. The result is whether an RPC of that id was open on this connection.
+func (c *conn) handleCancel(p *pending, raw []byte) {
 	id := bytes.Clone(jsonrpc.Member(raw, "id"))
 	if id == nil || len(id) > 0 && (id[0] == '{' || id[0] == '[' || id[0] == 't' || id[0] == 'f') {
-		p.fail(jsonrpc.InvalidParams, `params: "id" must be the id of an RPC: a string, a number or null`)
+		p.sendError(jsonrpc.InvalidParams, `params: "id" must be the id of an RPC: a string, a number or null`)
 		return
 	}
-	c.s.loop.Post(func() {
-		open := c.byID[string(id)]
-		p.answer(true, func(out []byte, own jsonrpc.ID) []byte {
-			return jsonrpc.AppendResult(out, own, strconv.AppendBool(nil, open != nil))
+	c.server.loop.Post(func() {
+		target := c.byID[string(id)]
+		p.send(true, func(out []byte, cancelID jsonrpc.ID) []byte {
+			return jsonrpc.AppendResult(out, cancelID, strconv.AppendBool(nil, target != nil))
 		})
-		if open != nil {
-			open.ask.Cancel()
+		if target != nil {
+			target.request.Cancel()
 		}
 	})
 }
 
-// take brings the RPC to the desk; in a turn.
-func (c *conn) take(p *pending, ps dispatch.Params, came time.Time) {
+// submit passes the RPC to the dispatcher. It runs in a turn of the event loop.
+func (c *conn) submit(p *pending, params dispatch.Params, received time.Time) {
 	if len(p.id) > 0 && c.byID[string(p.id)] != nil {
-		p.answer(true, func(out []byte, id jsonrpc.ID) []byte {
+		p.send(true, func(out []byte, id jsonrpc.ID) []byte {
 			return jsonrpc.AppendError(out, id, jsonrpc.InvalidRequest, "an RPC of this id is open on this connection", nil)
 		})
 		return
@@ -456,32 +461,32 @@
 	if len(p.id) > 0 {
 		c.byID[string(p.id)] = p
 	}
-	p.ask = c.at().Submit(ps, eventloop.FromDuration(time.Since(came)), p)
+	p.request = c.openDispatchConn().Submit(params, eventloop.FromDuration(time.Since(received)), p)
 }
 
-// over notes that the RPC has its answer.
-func (p *pending) over() {
-	if p.c.byID[string(p.id)] == p {
-		delete(p.c.byID, string(p.id))
+// unregister removes an answered RPC from byID.
+func (p *pending) unregister() {
+	if p.conn.byID[string(p.id)] == p {
+		delete(p.conn.byID, string(p.id))
 	}
 }
 
-// OK implements front.Reply.
+// OK implements dispatch.Responder.
 func (p *pending) OK(result, _ []byte) {
-	p.over()
-	p.answer(true, func(out []byte, id jsonrpc.ID) []byte { return jsonrpc.AppendResult(out, id, result) })
+	p.unregister()
+	p.send(true, func(out []byte, id jsonrpc.ID) []byte { return jsonrpc.AppendResult(out, id, result) })
 }
 
-// Denied implements front.Reply.
-func (p *pending) Denied(message string, comeBack router.Time) {
-	p.over()
-	p.answer(true, func(out []byte, id jsonrpc.ID) []byte { return appendDenied(out, id, message, comeBack) })
+// Denied implements dispatch.Responder.
+func (p *pending) Denied(message string, retryAfter router.Time) {
+	p.unregister()
+	p.send(true, func(out []byte, id jsonrpc.ID) []byte { return appendDenied(out, id, message, retryAfter) })
 }
 
-// Aborted implements front.Reply.
+// Aborted implements dispatch.Responder.
 func (p *pending) Aborted(cause string) {
-	p.over()
-	p.answer(true, func(out []byte, id jsonrpc.ID) []byte {
+	p.unregister()
+	p.send(true, func(out []byte, id jsonrpc.ID) []byte {
 		var data []byte
 		if cause != "" {
 			data = append(jsonrpc.AppendString([]byte(`{"cause":`), cause), '}')
@@ -490,10 +495,10 @@
 	})
 }
 
-// Rejected implements front.Reply.
+// Rejected implements dispatch.Responder.
 func (p *pending) Rejected(message string) {
-	p.over()
-	p.answer(true, func(out []byte, id jsonrpc.ID) []byte {
+	p.unregister()
+	p.send(true, func(out []byte, id jsonrpc.ID) []byte {
 		return jsonrpc.AppendError(out, id, jsonrpc.InvalidParams, "params: "+message, nil)
 	})
 }
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -1,5 +1,6 @@
-// Package clients is a front end's side towards its clients: JSON-RPC 2.0 over Unix stream sockets, as
-// docs/protocol.md words it. It hands RPCs to the engine and answers back; it decides nothing about an RPC's path.
+// Package clients serves a front end's clients: JSON-RPC 2.0 over Unix stream sockets, as specified in
+// docs/protocol.md. It decodes requests, passes RPCs to the dispatcher, and sends the answers; it makes no routing
+// decisions.
 package clients
 
 import (
@@ -25,62 +26,62 @@
 	"mallowlanding/router"
 )
 
-// Error codes of our own, in the range that JSON-RPC leaves to servers.
+// Error codes of this protocol, in the range that JSON-RPC reserves for servers.
 const (
-	Denied           = -32001 // a retry is harmless; data.come_back_ms advises when
-	Aborted          = -32002 // it may have run
-	PermissionDenied = -32003 // the peer may not ask for this
+	Denied           = -32001 // a retry is harmless; data.come_back_ms is the pause to keep before it
+	Aborted          = -32002 // the RPC may have run
+	PermissionDenied = -32003 // the access rules forbid this peer the method or customer
 )
 
-// Limits bound what clients may ask of one front end.
+// Limits are the limits on the clients of one front end.
 type Limits struct {
-	Connections  int           // connections at once
-	OpenRPCs     int           // RPCs open on one connection
-	ValueBytes   int           // bytes of one JSON value
-	AnswerBytes  int           // bytes of answers that wait for a slow reader before no more is read from it
-	WriteTimeout time.Duration // a reader that takes nothing for so long is cut off
+	Connections  int           // connections open at the same time
+	OpenRPCs     int           // open RPCs of one connection
+	ValueBytes   int           // size of one JSON value
+	AnswerBytes  int           // unsent answers of one connection; above this, reading from it pauses
+	WriteTimeout time.Duration // a connection whose client reads nothing for this long is closed
 }
 
-// Options are a server's settings.
+// Options configure a Server.
 type Options struct {
 	Limits        Limits
-	RewriteAnswer func(value []byte) []byte // changes an answer as it leaves; nil: it goes as it is
-	Allow         access.Rules              // none: every peer that can open the socket
-	Status        func() []byte             // in a turn: what rpc.status answers; nil: it is no method
+	RewriteAnswer func(value []byte) []byte // replaces each answer before it is sent; nil: answers are sent unchanged
+	Allow         access.Rules              // empty: every peer that can open the socket is allowed
+	Status        func() []byte             // result of rpc.status, called on the event loop; nil: no such method
 	Log           zerolog.Logger
 }
 
-// Server takes connections. The last field belongs to the loop's goroutine.
+// Server accepts clients' connections. Its last field is used on the event loop's goroutine only.
 type Server struct {
-	o        Options
-	loop     *eventloop.Loop
-	desk     *dispatch.Dispatcher
-	mu       sync.Mutex
-	conns    map[*conn]bool
-	accepted chan struct{}  // closed once no more connections are taken
-	more     sync.WaitGroup // other listeners that still take some
+	opts           Options
+	loop           *eventloop.Loop
+	dispatcher     *dispatch.Dispatcher
+	mu             sync.Mutex
+	conns          map[*conn]bool
+	acceptDone     chan struct{}  // closed when the main listener accepts no more connections
+	extraListeners sync.WaitGroup // counts added listeners that still accept connections
 
-	dirty []*conn // with answers of this turn
+	dirtyConns []*conn // connections with answers queued in this turn of the event loop
 }
 
-// New makes a server for a desk that loop drives.
-func New(loop *eventloop.Loop, d *dispatch.Dispatcher, o Options) *Server {
-	return &Server{o: o, loop: loop, desk: d, conns: map[*conn]bool{}, accepted: make(chan struct{})}
+// New returns a server for a dispatcher that runs on loop.
+func New(loop *eventloop.Loop, dispatcher *dispatch.Dispatcher, o Options) *Server {
+	return &Server{opts: o, loop: loop, dispatcher: dispatcher, conns: map[*conn]bool{}, acceptDone: make(chan struct{})}
 }
 
-// Listen makes the socket at path. One that a dead process left is replaced; one that is served, or a file of
-// another kind, is an error.
+// Listen opens a Unix socket at path. A socket left by a dead process is replaced; a socket that a live process serves,
+// or a file of another kind, is an error.
 func Listen(path string, mode os.FileMode) (net.Listener, error) {
 	if info, err := os.Lstat(path); err == nil {
 		if info.Mode()&os.ModeSocket == 0 {
-			return nil, fmt.Errorf("socket %s: a file that is no socket stands there", path)
+			return nil, fmt.Errorf("socket %s: the path exists and is not a socket", path)
 		}
 		if c, err := net.DialTimeout("unix", path, time.Second); err == nil {
 			c.Close()
-			return nil, fmt.Errorf("socket %s: a live process serves it", path)
+			return nil, fmt.Errorf("socket %s: in use by a live process", path)
 		}
 		if err := os.Remove(path); err != nil {
-			return nil, fmt.Errorf("socket %s: left by a dead process: %w", path, err)
+			return nil, fmt.Errorf("socket %s: cannot remove the socket of a dead process: %w", path, err)
 		}
 	}
 	l, err := net.Listen("unix", path)
@@ -94,19 +95,19 @@
 	return l, nil
 }
 
-// Serve takes connections until the context ends, and then ends those that it has. Drain comes before.
+// Serve accepts connections until the context ends, and then closes the open ones. Drain the dispatcher before that.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
-	return s.serve(ctx, l, func() { close(s.accepted) })
+	return s.serve(ctx, l, func() { close(s.acceptDone) })
 }
 
-// AddListener has a further listener's connections taken, too, until it is closed; the function that it returns serves.
+// AddListener registers another listener. The returned function accepts its connections until the listener is closed.
 func (s *Server) AddListener(ctx context.Context, l net.Listener) func() error {
-	s.more.Add(1)
-	return func() error { return s.serve(ctx, l, s.more.Done) }
+	s.extraListeners.Add(1)
+	return func() error { return s.serve(ctx, l, s.extraListeners.Done) }
 }
 
-func (s *Server) serve(ctx context.Context, l net.Listener, over func()) error {
-	var all errgroup.Group
+func (s *Server) serve(ctx context.Context, l net.Listener, acceptEnded func()) error {
+	var connGroup errgroup.Group
 	stop := context.AfterFunc(ctx, func() {
 		l.Close()
 		s.mu.Lock()
@@ -116,50 +117,50 @@
 		}
 	})
 	defer stop()
-	var failed error
+	var acceptErr error
 	for {
 		nc, err := l.Accept()
 		if err != nil {
 			if ctx.Err() == nil && !errors.Is(err, net.ErrClosed) {
-				s.o.Log.Warn().Err(err).Msg("accept")
+				s.opts.Log.Warn().Err(err).Msg("accept failed")
 				if errors.Is(err, os.ErrDeadlineExceeded) || isTemporary(err) {
-					time.Sleep(10 * time.Millisecond) // out of descriptors: others may close some
+					time.Sleep(10 * time.Millisecond) // out of file descriptors: other connections may close meanwhile
 					continue
 				}
-				failed = err
+				acceptErr = err
 			}
 			break
 		}
-		uid, gid, err := peerOf(nc)
-		var right access.Permissions
+		uid, gid, err := peerCredentials(nc)
+		var permissions access.Permissions
 		if err == nil {
-			right, err = s.o.Allow.Authorize(uid, gid)
+			permissions, err = s.opts.Allow.Authorize(uid, gid)
 		}
 		if err != nil {
-			s.o.Log.Warn().Err(err).Msg("a connection is turned away")
-			turnAway(nc, PermissionDenied, err.Error())
+			s.opts.Log.Warn().Err(err).Msg("connection refused by the access rules")
+			refuse(nc, PermissionDenied, err.Error())
 			continue
 		}
-		c := newConn(s, nc, admission.PeerID(uid), right)
+		c := newConn(s, nc, admission.PeerID(uid), permissions)
 		s.mu.Lock()
-		full := len(s.conns) >= s.o.Limits.Connections
+		full := len(s.conns) >= s.opts.Limits.Connections
 		if !full {
 			s.conns[c] = true
 		}
 		s.mu.Unlock()
 		if full {
-			s.o.Log.Warn().Int("connections", s.o.Limits.Connections).Msg("a connection is turned away")
-			turnAway(nc, Denied, fmt.Sprintf("denied: %d connections are open, no more are taken", s.o.Limits.Connections))
+			s.opts.Log.Warn().Int("connections", s.opts.Limits.Connections).Msg("connection refused: limit of connections reached")
+			refuse(nc, Denied, fmt.Sprintf("denied: %d connections are open, no more are taken", s.opts.Limits.Connections))
 			continue
 		}
-		all.Go(func() error { c.serve(ctx); return nil })
-		if ctx.Err() != nil { // closed between the context's end and its being listed
+		connGroup.Go(func() error { c.serve(ctx); return nil })
+		if ctx.Err() != nil { // the context ended before the connection was listed, so it was not closed with the others
 			nc.Close()
 		}
 	}
-	over()
-	_ = all.Wait()
-	return failed
+	acceptEnded()
+	_ = connGroup.Wait()
+	return acceptErr
 }
 
 func isTemporary(err error) bool {
@@ -167,15 +168,15 @@
 	return errors.As(err, &op) && op.Temporary()
 }
 
-// turnAway tells a client why its connection is not taken, and closes it.
-func turnAway(nc net.Conn, code int, why string) {
+// refuse sends the reason why a connection is not accepted, and closes it.
+func refuse(nc net.Conn, code int, reason string) {
 	_ = nc.SetWriteDeadline(time.Now().Add(time.Second))
-	_, _ = nc.Write(append(jsonrpc.AppendError(nil, jsonrpc.NullID, code, why, nil), '\n'))
+	_, _ = nc.Write(append(jsonrpc.AppendError(nil, jsonrpc.NullID, code, reason, nil), '\n'))
 	nc.Close()
 }
 
-// peerOf reads the ids of the process at the other end, as they were when it connected.
-func peerOf(nc net.Conn) (uid, gid int64, err error) {
+// peerCredentials returns the user and group id that the peer's process had when it connected (SO_PEERCRED).
+func peerCredentials(nc net.Conn) (uid, gid int64, err error) {
 	raw, err := nc.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return 0, 0, err
@@ -193,12 +194,12 @@
 	return int64(cred.Uid), int64(cred.Gid), nil
 }
 
-// CloseRead has clients' further writes fail: what they sent before is still read, and nothing is lost between a
-// write that went well and this front end. Connections end once all on them is answered.
-// It waits until the listener, which must be closed, gives no more.
+// CloseRead makes clients' further writes fail. What they sent before is still read, so no successful write is lost.
+// A connection ends when everything on it is answered. CloseRead waits until the listeners, which must already be closed,
+// accept no more connections.
 func (s *Server) CloseRead() {
-	<-s.accepted
-	s.more.Wait()
+	<-s.acceptDone
+	s.extraListeners.Wait()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -206,38 +207,38 @@
 	}
 }
 
-// Connections is the number of clients' connections.
+// Connections returns the number of open connections.
 func (s *Server) Connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// Flush sends the turn's answers; it may be called in a turn alone, at its end.
+// Flush sends the answers of a turn of the event loop. Call it at the end of the turn.
 func (s *Server) Flush() {
-	for i, c := range s.dirty {
+	for i, c := range s.dirtyConns {
 		c.flush()
-		s.dirty[i] = nil
+		s.dirtyConns[i] = nil
 	}
-	s.dirty = s.dirty[:0]
+	s.dirtyConns = s.dirtyConns[:0]
 }
 
-// Flushed tells whether all answers given so far have been written, or can't be any more.
+// Flushed reports whether no open connection has answers left to write.
 func (s *Server) Flushed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		if c.waiting() > 0 {
+		if c.unsentBytes() > 0 {
 			return false
 		}
 	}
 	return true
 }
 
-func appendDenied(out []byte, id jsonrpc.ID, message string, comeBack router.Time) []byte {
+func appendDenied(out []byte, id jsonrpc.ID, message string, retryAfter router.Time) []byte {
 	var data []byte
-	if comeBack > 0 {
-		data = strconv.AppendInt([]byte(`{"come_back_ms":`), int64(comeBack+9)/10, 10)
+	if retryAfter > 0 {
+		data = strconv.AppendInt([]byte(`{"come_back_ms":`), int64(retryAfter+9)/10, 10)
 		data = append(data, '}')
 	}
 	return jsonrpc.AppendError(out, id, Denied, message, data)
