--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -195,8 +195,8 @@
 }
 
 // CloseRead makes clients' further writes fail. What they sent before is still read, so no successful write is lost.
-// A connection ends when everything on it is answered. CloseRead waits until the listeners, which must already be closed,
-// accept no more connections.
+// A connection ends when everything on it is answered. CloseRead waits until the listeners, which must be closed
+// already, accept no more connections.
 func (s *Server) CloseRead() {
 	<-s.acceptDone
 	s.extraListeners.Wait()
--- a/internal/workerlink/link.go
+++ b/internal/workerlink/link.go
@@ -1,7 +1,7 @@
-// Package workerlink is a front end's side towards its workers: one connection to each, JSON-RPC 2.0 both ways, as
-// docs/protocol.md words it. A link tells the engine how each call-out ended, and of one that it could not deliver,
-// whether that proves that it never ran: a call-out none of whose bytes was given to the socket never ran; one of
-// which a byte was may have.
+// Package workerlink connects a front end to its workers: one connection to each, JSON-RPC 2.0 in both directions, as
+// specified in docs/protocol.md. A link reports to the engine how each call-out ended, and for a call-out that was not
+// answered, whether it may have run: it never ran if none of its bytes was written to the socket, and may have run
+// otherwise.
 package workerlink
 
 import (
@@ -28,66 +28,68 @@
 	"mallowlanding/router"
 )
 
-// Error codes of workers' answers. All but Failed and CalledOff prove that the RPC never ran.
+// Error codes of workers' answers. All but Failed and Cancelled prove that the RPC never ran.
 const (
-	Full       = -32010 // not taken: no place, no memory, or the worker drains
-	NotLoaded  = -32011 // not loaded there, or its load failed, before it ran
-	Failed     = -32012 // it ran, or began to, and failed
-	Cancelled  = -32013 // called off; it may have run
+	Full       = -32010 // not accepted: no free lane, no memory, or the worker drains
+	NotLoaded  = -32011 // the function is not loaded, or its load failed, so the RPC did not run
+	Failed     = -32012 // the RPC started to run and failed
+	Cancelled  = -32013 // cancelled; it may have run
 	LoadFailed = -32014 // a load order's load failed
 )
 
-// ProtocolVersion is the protocol's, as client.ready states it.
+// ProtocolVersion is the version of the protocol that a worker must state in client.ready.
 const ProtocolVersion = 1
 
-// Options are the settings of all links of a front end.
+// Options configure all links of a front end.
 type Options struct {
 	FrontEnd       string
-	ConnectTimeout time.Duration                                  // a worker that has not said client.ready by then is out of reach
-	ValueBytes     int                                            // bytes of one JSON value from a worker
-	QueuedBytes    int                                            // bytes that wait for a worker that reads slowly; call-outs beyond are not taken
-	RedialMin      time.Duration                                  // first pause before a new connection, doubling
-	RedialMax      time.Duration                                  // last one
-	WrapLink       func(worker string, l engine.Link) engine.Link // nil: links go to the engine as they are
+	ConnectTimeout time.Duration                                  // for the connection and the worker's client.ready
+	ValueBytes     int                                            // maximum size of one JSON value from a worker
+	QueuedBytes    int                                            // unsent bytes of a link above which new requests fail
+	RedialMin      time.Duration                                  // first pause before reconnecting; it doubles
+	RedialMax      time.Duration                                  // longest pause
+	WrapLink       func(worker string, l engine.Link) engine.Link // replaces the link given to the engine; nil: no change
 	Log            zerolog.Logger
 }
 
-// Set has a front end's links. All of its methods are for turns of the loop alone, but Run.
+// Set is the set of a front end's links. Its methods, except Wait, must be called in a turn of the event loop.
 type Set struct {
-	o      Options
-	loop   *eventloop.Loop
-	engine *engine.Engine
-	links  map[string]*Link
-	group  errgroup.Group
-	ctx    context.Context
-	dirty  []*stream // written to in this turn
+	opts         Options
+	loop         *eventloop.Loop
+	engine       *engine.Engine
+	links        map[string]*Link
+	group        errgroup.Group
+	ctx          context.Context
+	dirtyStreams []*stream // written to in this turn of the event loop
 
 	now     router.Time
-	batches *batch.Batcher[riders, engine.CallOutID]
-	waiting map[engine.CallOutID]rider // in a batch that has not left
+	batches *batch.Batcher[batchKey, engine.CallOutID]
+	batched map[engine.CallOutID]batchedRPC // in batches that have not been sent
 }
 
-// riders wait for each other: RPCs of one function to one worker.
-type riders struct{ worker, function string }
+// batchKey identifies the RPCs that may be sent in one batch: those of one function to one worker.
+type batchKey struct{ worker, function string }
 
-// rider is one of them: its request as it came, and how long its client waited then.
-type rider struct {
-	l    *Link
-	p    *engine.RPC
-	came router.Time
-	left router.Time
+// batchedRPC is an RPC that waits for its batch to be sent. clientWait is how long its client would still wait at the
+// time received.
+type batchedRPC struct {
+	link       *Link
+	rpc        *engine.RPC
+	received   router.Time
+	clientWait router.Time
 }
 
-// New makes a set whose links live until the context ends.
-func New(ctx context.Context, loop *eventloop.Loop, e *engine.Engine, o Options) *Set {
-	return &Set{o: o, loop: loop, engine: e, links: map[string]*Link{}, ctx: ctx,
-		batches: batch.New[riders, engine.CallOutID](), waiting: map[engine.CallOutID]rider{}}
+// New returns an empty set whose links exist until the context ends.
+func New(ctx context.Context, loop *eventloop.Loop, e *engine.Engine, opts Options) *Set {
+	return &Set{opts: opts, loop: loop, engine: e, links: map[string]*Link{}, ctx: ctx,
+		batches: batch.New[batchKey, engine.CallOutID](), batched: map[engine.CallOutID]batchedRPC{}}
 }
 
-// Wait returns once all links' goroutines have ended, after the context's end.
+// Wait returns when the goroutines of all links have ended. Call it after the context has ended.
 func (s *Set) Wait() { _ = s.group.Wait() }
 
-// Add has a link to the worker kept up; id is the worker's at the engine.
+// Add adds a link to the worker, if there is none to this socket, and keeps it connected. id is the engine's id of the
+// worker.
 func (s *Set) Add(name, socket string, id router.WorkerID) {
 	l := s.links[name]
 	if l != nil && l.socket == socket && l.ctx.Err() == nil {
@@ -97,116 +99,119 @@
 	if l != nil {
 		l.cancel()
 	}
-	l = &Link{s: s, name: name, socket: socket, id: id, wanted: true, sent: map[string]flight{}}
+	l = &Link{set: s, name: name, socket: socket, id: id, wanted: true, inFlight: map[string]request{}}
 	l.ctx, l.cancel = context.WithCancel(s.ctx)
 	s.links[name] = l
-	s.engine.SetLink(name, s.wrapped(l))
+	s.engine.SetLink(name, s.wrap(l))
 	s.group.Go(func() error { l.run(); return nil })
 }
 
-func (s *Set) wrapped(l *Link) engine.Link {
-	if s.o.WrapLink != nil {
-		return s.o.WrapLink(l.name, l)
+func (s *Set) wrap(l *Link) engine.Link {
+	if s.opts.WrapLink != nil {
+		return s.opts.WrapLink(l.name, l)
 	}
 	return l
 }
 
-// Remove lets go of the link once nothing is out on it.
+// Remove closes the link as soon as no request is in flight or queued on it.
 func (s *Set) Remove(name string) {
 	if l := s.links[name]; l != nil {
 		l.wanted = false
-		l.retire()
+		l.closeIfIdle()
 	}
 }
 
-// flight is something out on a link: where its message begins in the stream, and who is told how it ended.
-type flight struct {
-	at     uint64
-	ended  func(o router.Outcome, cause string)
-	answer func(a answer)
+// request is a request in flight on a link: the offset of its message in the stream, and the callbacks for its end.
+// onEnded is called if the worker does not answer, onResponse if it does.
+type request struct {
+	offset     uint64
+	onEnded    func(o router.Outcome, cause string)
+	onResponse func(resp response)
 }
 
-// answer is a worker's answer as the reader decoded it; data of an error and results have the same members.
-type answer struct {
-	code    int
-	message string
-	value   []byte
-	blob    []byte
-	warmth  router.Warmth
-	crowd   int
-	report  []float64
-	copies  int
+// response is a worker's decoded response. Results and the data of errors have the same members.
+type response struct {
+	code         int
+	message      string
+	value        []byte
+	blob         []byte
+	warmth       router.Warmth
+	othersAtCopy int // RPCs of other front ends at the copy
+	report       []float64
+	copies       int
 }
 
-// Link is the way to one worker.
+// Link is the link to one worker.
 type Link struct {
-	s            *Set
+	set          *Set
 	name, socket string
 	id           router.WorkerID
 	ctx          context.Context
 	cancel       context.CancelFunc
 
-	// the loop's
-	wanted bool
-	up     *stream           // nil: there is no connection on which the worker is ready
-	sent   map[string]flight // out on the present connection, by id
-	held   []*heldAsk        // sent once it is up; each expires
+	// used on the event loop's goroutine only
+	wanted   bool
+	stream   *stream            // nil: no connection on which the worker has reported ready
+	inFlight map[string]request // requests sent on the current connection, by id
+	queued   []*queuedRequest   // to be sent when the worker is ready, unless they expire first
 }
 
-// stream is what goes out on one connection; nothing handed to it ever goes out on another.
+// stream is the output of one connection. Bytes queued on it are never sent on another connection.
 type stream struct {
-	now     sockio.Socket
-	binary  bool   // the loop's: the codec agreed on
-	batches bool   // the loop's: the worker takes host.batch
-	total   uint64 // the loop's: bytes handed to the writer
-	dirty   bool   // the loop's: written to in this turn
+	socket   sockio.Socket
+	binary   bool   // event loop only: frames are sent instead of JSON lines
+	batches  bool   // event loop only: the worker accepts host.batch
+	enqueued uint64 // event loop only: bytes queued so far
+	dirty    bool   // event loop only: it is in Set.dirtyStreams
 
 	mu      sync.Mutex
-	out     []byte
-	writing bool // the writer has taken bytes
+	unsent  []byte
+	writing bool // a write of the writer goroutine is in progress
 	ended   bool
-	more    *sync.Cond
-	written uint64 // bytes that the socket took
+	changed *sync.Cond
+	written uint64 // bytes accepted by the socket
 }
 
-type heldAsk struct{ ask, expire func() }
+// queuedRequest is a request that waits for the worker to be ready.
+type queuedRequest struct{ send, expire func() }
 
-// retire ends an unwanted link with nothing out.
-func (l *Link) retire() {
-	if !l.wanted && len(l.sent) == 0 && len(l.held) == 0 {
+// closeIfIdle closes a removed link on which nothing is in flight or queued.
+func (l *Link) closeIfIdle() {
+	if !l.wanted && len(l.inFlight) == 0 && len(l.queued) == 0 {
 		l.cancel()
 	}
 }
 
 // Send implements engine.Link.
-func (l *Link) Send(id engine.CallOutID, p *engine.RPC, left, _ router.Time) {
-	if p.Method.MaxBatch > 1 && l.up != nil && l.up.binary && l.up.batches {
-		s := l.s
-		s.waiting[id] = rider{l, p, s.now, left}
-		s.sendBatch(s.batches.Add(s.now, riders{l.name, p.Function}, id, p.Method.MaxBatch, p.Method.BatchWait, p.SoftDeadline-s.now))
+func (l *Link) Send(id engine.CallOutID, rpc *engine.RPC, clientWait, _ router.Time) {
+	if rpc.Method.MaxBatch > 1 && l.stream != nil && l.stream.binary && l.stream.batches {
+		s := l.set
+		s.batched[id] = batchedRPC{l, rpc, s.now, clientWait}
+		s.sendBatch(s.batches.Add(s.now, batchKey{l.name, rpc.Function}, id, rpc.Method.MaxBatch, rpc.Method.BatchWait, rpc.SoftDeadline-s.now))
 		return
 	}
-	l.askWith(string(jsonrpc.NumberID(uint64(id))), "host.request", requestParams(p, left), p.Blob, l.flightOf(id))
+	l.sendRequestWithBlob(string(jsonrpc.NumberID(uint64(id))), "host.request", requestParams(rpc, clientWait), rpc.Blob, l.callOutRequest(id))
 }
 
-// flightOf is a call-out's: who is told how it ended.
-func (l *Link) flightOf(id engine.CallOutID) flight {
-	return flight{
-		ended: func(o router.Outcome, cause string) {
-			l.s.engine.CallOutEnded(id, l.id, o, router.WarmthUnknown, 0, nil, []byte(cause), nil)
+// callOutRequest returns the callbacks that report the end of a call-out to the engine.
+func (l *Link) callOutRequest(id engine.CallOutID) request {
+	return request{
+		onEnded: func(o router.Outcome, cause string) {
+			l.set.engine.CallOutEnded(id, l.id, o, router.WarmthUnknown, 0, nil, []byte(cause), nil)
 		},
-		answer: func(a answer) { l.answered(id, a) },
+		onResponse: func(resp response) { l.callOutAnswered(id, resp) },
 	}
 }
 
-// sendBatch sends what rides together, each under its own id; one alone goes as it would without.
+// sendBatch sends call-outs in one host.batch message, each under its own id. A single call-out is sent as
+// host.request.
 func (s *Set) sendBatch(ids []engine.CallOutID) {
 	ids = slices.DeleteFunc(ids, func(id engine.CallOutID) bool {
-		over := !s.engine.CallOutOpen(id) // its time was up meanwhile: this front end stood still
-		if over {
-			delete(s.waiting, id)
+		ended := !s.engine.CallOutOpen(id) // its deadline passed while this process was stalled
+		if ended {
+			delete(s.batched, id)
 		}
-		return over
+		return ended
 	})
 	if len(ids) == 0 {
 		return
@@ -215,230 +220,235 @@
 	b := []byte(`{"requests":[`)
 	var l *Link
 	for i, id := range ids {
-		r := s.waiting[id]
-		delete(s.waiting, id)
-		l = r.l
-		left := max(0, r.left-(s.now-r.came))
+		r := s.batched[id]
+		delete(s.batched, id)
+		l = r.link
+		clientWait := max(0, r.clientWait-(s.now-r.received))
 		if len(ids) == 1 {
-			l.askWith(string(jsonrpc.NumberID(uint64(id))), "host.request", requestParams(r.p, left), r.p.Blob, l.flightOf(id))
+			l.sendRequestWithBlob(string(jsonrpc.NumberID(uint64(id))), "host.request", requestParams(r.rpc, clientWait), r.rpc.Blob, l.callOutRequest(id))
 			return
 		}
 		if i > 0 {
 			b = append(b, ',')
 		}
-		part := requestParams(r.p, left)
-		b = append(append(b, part[:len(part)-1]...), `,"id":`...)
-		b = strconv.AppendInt(append(strconv.AppendUint(b, uint64(id), 10), `,"blob_bytes":`...), int64(len(r.p.Blob)), 10)
+		params := requestParams(r.rpc, clientWait)
+		b = append(append(b, params[:len(params)-1]...), `,"id":`...)
+		b = strconv.AppendInt(append(strconv.AppendUint(b, uint64(id), 10), `,"blob_bytes":`...), int64(len(r.rpc.Blob)), 10)
 		b = append(b, '}')
-		blob = append(blob, r.p.Blob...)
+		blob = append(blob, r.rpc.Blob...)
 	}
-	if l.up == nil { // it went down in this turn
+	if l.stream == nil { // the connection was lost in this turn
 		for _, id := range ids {
-			l.s.loop.Post(func() { l.flightOf(id).ended(router.ConnectFailed, "no connection to "+l.name) })
+			l.set.loop.Post(func() { l.callOutRequest(id).onEnded(router.ConnectFailed, "no connection to "+l.name) })
 		}
 		return
 	}
 	for _, id := range ids {
-		f := l.flightOf(id)
-		f.at = l.up.total
-		l.sent[string(jsonrpc.NumberID(uint64(id)))] = f
+		req := l.callOutRequest(id)
+		req.offset = l.stream.enqueued
+		l.inFlight[string(jsonrpc.NumberID(uint64(id)))] = req
 	}
 	l.write("", "host.batch", append(b, "]}"...), blob)
 }
 
-// BeginTurn tells the time of a turn.
+// BeginTurn sets the time of a turn of the event loop.
 func (s *Set) BeginTurn(now router.Time) { s.now = now }
 
-// NextDue tells when a batch leaves.
+// NextDue returns the time at which the next batch is due to be sent; false: there is none.
 func (s *Set) NextDue() (router.Time, bool) { return s.batches.NextDue() }
 
-// SendDueBatches sends the batches whose wait is over; it may be called in a turn alone, before Flush.
+// SendDueBatches sends the batches that are due. Call it in a turn of the event loop, before Flush.
 func (s *Set) SendDueBatches() {
 	for _, ids := s.batches.PopDue(s.now); ids != nil; _, ids = s.batches.PopDue(s.now) {
 		s.sendBatch(ids)
 	}
 }
 
-// requestParams are a request's, for a client that waits so long.
-func requestParams(p *engine.RPC, left router.Time) []byte {
-	b := append(make([]byte, 0, 256+len(p.Payload)), `{"method":`...)
-	b = jsonrpc.AppendString(b, p.Method.Name)
-	b = jsonrpc.AppendString(append(b, `,"function":`...), p.Function)
-	if p.Token != "" {
-		b = jsonrpc.AppendString(append(b, `,"token":`...), p.Token)
+// requestParams returns the params of host.request for an RPC whose client waits for clientWait.
+func requestParams(rpc *engine.RPC, clientWait router.Time) []byte {
+	b := append(make([]byte, 0, 256+len(rpc.Payload)), `{"method":`...)
+	b = jsonrpc.AppendString(b, rpc.Method.Name)
+	b = jsonrpc.AppendString(append(b, `,"function":`...), rpc.Function)
+	if rpc.Token != "" {
+		b = jsonrpc.AppendString(append(b, `,"token":`...), rpc.Token)
 	}
-	b = strconv.AppendFloat(append(b, `,"time_ms":`...), float64(left)/10, 'f', 1, 64)
-	b = appendFunction(b, p.Spec)
-	if len(p.Payload) > 0 {
-		b = append(append(b, `,"payload":`...), p.Payload...)
+	b = strconv.AppendFloat(append(b, `,"time_ms":`...), float64(clientWait)/10, 'f', 1, 64)
+	b = appendFunction(b, rpc.Spec)
+	if len(rpc.Payload) > 0 {
+		b = append(append(b, `,"payload":`...), rpc.Payload...)
 	}
 	return append(b, '}')
 }
 
-func appendFunction(b []byte, fn engine.FunctionSpec) []byte {
-	b = strconv.AppendFloat(append(b, `,"memory_mb":`...), fn.MemoryMB, 'f', -1, 64)
-	b = strconv.AppendInt(append(b, `,"lanes":`...), int64(fn.Lanes), 10)
-	return strconv.AppendFloat(append(b, `,"load_ms":`...), float64(fn.LoadTime)/10, 'f', -1, 64)
+func appendFunction(b []byte, spec engine.FunctionSpec) []byte {
+	b = strconv.AppendFloat(append(b, `,"memory_mb":`...), spec.MemoryMB, 'f', -1, 64)
+	b = strconv.AppendInt(append(b, `,"lanes":`...), int64(spec.Lanes), 10)
+	return strconv.AppendFloat(append(b, `,"load_ms":`...), float64(spec.LoadTime)/10, 'f', -1, 64)
 }
 
 // CancelCallOut implements engine.Link.
 func (l *Link) CancelCallOut(id engine.CallOutID) {
-	if r, waits := l.s.waiting[id]; waits { // it has not left: it never ran
-		l.s.batches.Remove(riders{l.name, r.p.Function}, id)
-		delete(l.s.waiting, id)
-		l.s.loop.Post(func() { l.flightOf(id).ended(router.Full, "called off before it left") })
+	if r, queued := l.set.batched[id]; queued { // not sent yet, so it never ran
+		l.set.batches.Remove(batchKey{l.name, r.rpc.Function}, id)
+		delete(l.set.batched, id)
+		l.set.loop.Post(func() { l.callOutRequest(id).onEnded(router.Full, "cancelled before it was sent") })
 		return
 	}
 	params := append(strconv.AppendUint([]byte(`{"id":`), uint64(id), 10), '}')
-	if l.up != nil {
-		l.tell("host.call_off", params)
+	if l.stream != nil {
+		l.notify("host.call_off", params)
 	}
 }
 
 // CancelLoadOrder implements engine.Link.
 func (l *Link) CancelLoadOrder(id engine.OrderID) {
-	if l.up != nil {
-		l.tell("host.call_off", append(strconv.AppendUint([]byte(`{"id":"o`), uint64(id), 10), `"}`...))
+	if l.stream != nil {
+		l.notify("host.call_off", append(strconv.AppendUint([]byte(`{"id":"o`), uint64(id), 10), `"}`...))
 	}
 }
 
 // OrderLoad implements engine.Link.
-func (l *Link) OrderLoad(id engine.OrderID, function string, fn engine.FunctionSpec, copies int, _ router.Time) {
-	b := appendFunction(jsonrpc.AppendString([]byte(`{"function":`), function), fn)
+func (l *Link) OrderLoad(id engine.OrderID, function string, spec engine.FunctionSpec, copies int, _ router.Time) {
+	b := appendFunction(jsonrpc.AppendString([]byte(`{"function":`), function), spec)
 	b = append(strconv.AppendInt(append(b, `,"copies":`...), int64(copies), 10), '}')
-	l.ask(`"o`+strconv.FormatUint(uint64(id), 10)+`"`, "host.hold", b, flight{
-		ended: func(o router.Outcome, _ string) { l.s.engine.LoadOrderEnded(id, o, 0) },
-		answer: func(a answer) {
+	l.sendRequest(`"o`+strconv.FormatUint(uint64(id), 10)+`"`, "host.hold", b, request{
+		onEnded: func(o router.Outcome, _ string) { l.set.engine.LoadOrderEnded(id, o, 0) },
+		onResponse: func(resp response) {
 			o := router.Errored
-			switch a.code {
+			switch resp.code {
 			case 0:
 				o = router.OK
 			case Full:
 				o = router.Full
 			}
-			l.s.engine.LoadOrderEnded(id, o, a.copies)
+			l.set.engine.LoadOrderEnded(id, o, resp.copies)
 		},
 	})
 }
 
 // Check implements engine.Link.
 func (l *Link) Check(id engine.CheckID) {
-	l.ask(`"c`+strconv.FormatUint(uint64(id), 10)+`"`, "host.ping", nil, flight{
-		ended: func(o router.Outcome, _ string) { l.s.engine.CheckEnded(id, o, nil) },
-		answer: func(a answer) {
-			if a.code != 0 {
-				l.s.engine.CheckEnded(id, router.Errored, nil)
+	l.sendRequest(`"c`+strconv.FormatUint(uint64(id), 10)+`"`, "host.ping", nil, request{
+		onEnded: func(o router.Outcome, _ string) { l.set.engine.CheckEnded(id, o, nil) },
+		onResponse: func(resp response) {
+			if resp.code != 0 {
+				l.set.engine.CheckEnded(id, router.Errored, nil)
 				return
 			}
-			l.s.engine.CheckEnded(id, router.OK, a.report)
+			l.set.engine.CheckEnded(id, router.OK, resp.report)
 		},
 	})
 }
 
-// ask sends a request whose answer is awaited, or holds it until the link is up or the connect time-out is over.
-func (l *Link) ask(id, method string, params []byte, f flight) { l.askWith(id, method, params, nil, f) }
+// sendRequest sends a request that expects a response. Without a connection it queues the request until the worker is
+// ready or the connect timeout has passed.
+func (l *Link) sendRequest(id, method string, params []byte, req request) {
+	l.sendRequestWithBlob(id, method, params, nil, req)
+}
 
-// askWith is ask with bytes beside the params.
-func (l *Link) askWith(id, method string, params, blob []byte, f flight) {
+// sendRequestWithBlob is sendRequest with binary data in addition to the params.
+func (l *Link) sendRequestWithBlob(id, method string, params, blob []byte, req request) {
 	if l.ctx.Err() != nil {
-		l.s.loop.Post(func() { f.ended(router.ConnectFailed, "the link to "+l.name+" is closed") })
+		l.set.loop.Post(func() { req.onEnded(router.ConnectFailed, "the link to "+l.name+" is closed") })
 		return
 	}
-	if l.up == nil {
-		h := &heldAsk{ask: func() { l.askWith(id, method, params, blob, f) },
-			expire: func() { f.ended(router.ConnectFailed, "no connection to "+l.name) }}
-		l.held = append(l.held, h)
-		time.AfterFunc(l.s.o.ConnectTimeout, func() {
-			l.s.loop.Post(func() {
-				if at := slices.Index(l.held, h); at >= 0 {
-					l.held = slices.Delete(l.held, at, at+1)
-					h.expire()
-					l.retire()
+	if l.stream == nil {
+		q := &queuedRequest{send: func() { l.sendRequestWithBlob(id, method, params, blob, req) },
+			expire: func() { req.onEnded(router.ConnectFailed, "no connection to "+l.name) }}
+		l.queued = append(l.queued, q)
+		time.AfterFunc(l.set.opts.ConnectTimeout, func() {
+			l.set.loop.Post(func() {
+				if i := slices.Index(l.queued, q); i >= 0 {
+					l.queued = slices.Delete(l.queued, i, i+1)
+					q.expire()
+					l.closeIfIdle()
 				}
 			})
 		})
 		return
 	}
-	if l.up.waiting() > l.s.o.QueuedBytes {
-		l.s.loop.Post(func() { f.ended(router.Full, l.name+" reads too slowly") })
+	if l.stream.unsentBytes() > l.set.opts.QueuedBytes {
+		l.set.loop.Post(func() { req.onEnded(router.Full, l.name+" reads too slowly") })
 		return
 	}
-	f.at = l.up.total
-	l.sent[id] = f
+	req.offset = l.stream.enqueued
+	l.inFlight[id] = req
 	l.write(id, method, params, blob)
 }
 
-func (l *Link) tell(method string, params []byte) {
+func (l *Link) notify(method string, params []byte) {
 	l.write("", method, params, nil)
 }
 
-// write sends a request or a notification, in the codec agreed on. JSON carries bytes as params.blob, in base64.
+// write queues a request, or a notification if id is empty, in the agreed codec. In JSON the blob is sent in base64 as
+// params.blob.
 func (l *Link) write(id, method string, params, blob []byte) {
-	if !l.up.binary && len(blob) > 0 {
+	if !l.stream.binary && len(blob) > 0 {
 		params = append(params[:len(params)-1:len(params)-1], `,"blob":"`...)
 		params = append(base64.StdEncoding.AppendEncode(params, blob), `"}`...)
 	}
-	l.up.mu.Lock()
-	before := len(l.up.out)
-	if l.up.binary {
-		l.up.out = frames.AppendRequest(l.up.out, []byte(id), method, params, blob)
+	l.stream.mu.Lock()
+	before := len(l.stream.unsent)
+	if l.stream.binary {
+		l.stream.unsent = frames.AppendRequest(l.stream.unsent, []byte(id), method, params, blob)
 	} else {
-		l.up.out = append(jsonrpc.AppendRequest(l.up.out, jsonrpc.ID(id), method, params), '\n')
+		l.stream.unsent = append(jsonrpc.AppendRequest(l.stream.unsent, jsonrpc.ID(id), method, params), '\n')
 	}
-	l.up.total += uint64(len(l.up.out) - before)
-	l.up.mu.Unlock()
-	if !l.up.dirty {
-		l.up.dirty = true
-		l.s.dirty = append(l.s.dirty, l.up)
+	l.stream.enqueued += uint64(len(l.stream.unsent) - before)
+	l.stream.mu.Unlock()
+	if !l.stream.dirty {
+		l.stream.dirty = true
+		l.set.dirtyStreams = append(l.set.dirtyStreams, l.stream)
 	}
 }
 
-func (st *stream) waiting() int {
+func (st *stream) unsentBytes() int {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	return len(st.out)
+	return len(st.unsent)
 }
 
-// Flush sends what this turn wrote; it may be called in a turn alone, at its end.
+// Flush sends what was queued in this turn of the event loop. Call it at the end of the turn.
 func (s *Set) Flush() {
-	for i, st := range s.dirty {
+	for i, st := range s.dirtyStreams {
 		st.flush()
-		s.dirty[i] = nil
+		s.dirtyStreams[i] = nil
 	}
-	s.dirty = s.dirty[:0]
+	s.dirtyStreams = s.dirtyStreams[:0]
 }
 
-// flush writes what the socket takes at once; the rest is the writer's. It saves a change of goroutines for each turn.
+// flush writes what the socket accepts without blocking and leaves the rest to the writer. This saves a switch of
+// goroutines in each turn.
 func (st *stream) flush() {
 	st.dirty = false
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if !st.writing && !st.ended && len(st.out) > 0 {
-		n := st.now.TryWrite(st.out)
+	if !st.writing && !st.ended && len(st.unsent) > 0 {
+		n := st.socket.TryWrite(st.unsent)
 		st.written += uint64(n)
-		st.out = st.out[:copy(st.out, st.out[n:])]
+		st.unsent = st.unsent[:copy(st.unsent, st.unsent[n:])]
 	}
-	if len(st.out) > 0 {
-		st.more.Signal()
+	if len(st.unsent) > 0 {
+		st.changed.Signal()
 	}
 }
 
-// answered hands a call-out's answer to the engine.
-func (l *Link) answered(id engine.CallOutID, a answer) {
-	if a.code == 0 {
-		if a.value == nil {
-			a.value = []byte("null")
+// callOutAnswered reports a worker's response to a call-out to the engine.
+func (l *Link) callOutAnswered(id engine.CallOutID, resp response) {
+	if resp.code == 0 {
+		if resp.value == nil {
+			resp.value = []byte("null")
 		}
-		l.s.engine.CallOutEnded(id, l.id, router.OK, a.warmth, a.crowd, a.report, a.value, a.blob)
+		l.set.engine.CallOutEnded(id, l.id, router.OK, resp.warmth, resp.othersAtCopy, resp.report, resp.value, resp.blob)
 		return
 	}
-	if a.message == "" {
-		a.message = "error " + strconv.Itoa(a.code)
+	if resp.message == "" {
+		resp.message = "error " + strconv.Itoa(resp.code)
 	}
-	l.s.engine.CallOutEnded(id, l.id, OutcomeOf(a.code), a.warmth, a.crowd, a.report, []byte(l.name+": "+a.message), nil)
+	l.set.engine.CallOutEnded(id, l.id, OutcomeOf(resp.code), resp.warmth, resp.othersAtCopy, resp.report, []byte(l.name+": "+resp.message), nil)
 }
 
-// OutcomeOf is what a worker's code tells of an RPC; codes that we don't know prove nothing.
+// OutcomeOf returns the outcome that a worker's error code means. An unknown code is Errored: the RPC may have run.
 func OutcomeOf(code int) router.Outcome {
 	switch code {
 	case 0:
@@ -453,120 +463,120 @@
 	return router.Errored
 }
 
-// ParseWarmth is what a worker's word tells of the copy.
+// ParseWarmth returns the state of the copy that a worker reports with word.
 func ParseWarmth(word string) router.Warmth { return warmths[word] }
 
 var warmths = map[string]router.Warmth{"stood": router.AlreadyWarm, "began": router.StartedLoad,
 	"joined": router.JoinedLoad, "load failed": router.LoadFailed}
 
-// read takes what an answer's object tells.
-func (a *answer) read(object []byte) {
+// decode sets the members of r from a response's result or error data.
+func (r *response) decode(object []byte) {
 	if len(object) == 0 || object[0] != '{' {
 		return
 	}
 	_ = jsonrpc.ForEachMember(object, func(name []byte, v jsontext.Value) error {
 		switch string(name) {
 		case "value":
-			a.value = bytes.Clone(v)
+			r.value = bytes.Clone(v)
 		case "warmth":
 			word, _ := jsonrpc.ParseString(v)
-			a.warmth = warmths[word]
+			r.warmth = warmths[word]
 		case "crowd":
 			n, _ := jsonrpc.ParseNumber(v)
-			a.crowd = int(min(max(n, 0), 1e6))
+			r.othersAtCopy = int(min(max(n, 0), 1e6))
 		case "report":
-			a.report, _ = jsonrpc.ParseNumbers(v)
+			r.report, _ = jsonrpc.ParseNumbers(v)
 		case "copies":
 			n, _ := jsonrpc.ParseNumber(v)
-			a.copies = int(min(max(n, 0), 1000))
+			r.copies = int(min(max(n, 0), 1000))
 		}
 		return nil
 	})
 }
 
-// run keeps a connection up until the link's context ends.
+// run keeps the link connected until its context ends.
 func (l *Link) run() {
-	pause := l.s.o.RedialMin
+	pause := l.set.opts.RedialMin
 	for l.ctx.Err() == nil {
 		ready, err := l.connect()
 		if l.ctx.Err() != nil {
 			break
 		}
 		if ready {
-			pause = l.s.o.RedialMin
-			l.s.o.Log.Info().Str("worker", l.name).AnErr("cause", err).Msg("connection to worker lost")
-		} else if pause == l.s.o.RedialMin {
-			l.s.o.Log.Info().Str("worker", l.name).AnErr("cause", err).Msg("no connection to worker")
+			pause = l.set.opts.RedialMin
+			l.set.opts.Log.Info().Str("worker", l.name).AnErr("cause", err).Msg("connection to worker lost")
+		} else if pause == l.set.opts.RedialMin {
+			l.set.opts.Log.Info().Str("worker", l.name).AnErr("cause", err).Msg("cannot connect to worker")
 		}
 		select {
 		case <-l.ctx.Done():
 		case <-time.After(pause):
 		}
-		if pause = min(2*pause, l.s.o.RedialMax); ready {
-			pause = l.s.o.RedialMin
+		if pause = min(2*pause, l.set.opts.RedialMax); ready {
+			pause = l.set.opts.RedialMin
 		}
 	}
 }
 
-// connect serves one connection to its end; ready: the worker was ready on it.
+// connect opens a connection and serves it to its end. ready reports whether the worker became ready on it.
 func (l *Link) connect() (ready bool, err error) {
-	nc, err := (&net.Dialer{Timeout: l.s.o.ConnectTimeout}).DialContext(l.ctx, "unix", l.socket)
+	nc, err := (&net.Dialer{Timeout: l.set.opts.ConnectTimeout}).DialContext(l.ctx, "unix", l.socket)
 	if err != nil {
 		return false, err
 	}
 	stop := context.AfterFunc(l.ctx, func() { nc.Close() })
 	defer stop()
-	st := &stream{now: sockio.NewSocket(nc)}
-	st.more = sync.NewCond(&st.mu)
-	p := &peer{l: l, nc: nc, st: st}
-	if err := nc.SetReadDeadline(time.Now().Add(l.s.o.ConnectTimeout)); err != nil {
+	out := &stream{socket: sockio.NewSocket(nc)}
+	out.changed = sync.NewCond(&out.mu)
+	h := &connHandler{link: l, nc: nc, stream: out}
+	if err := nc.SetReadDeadline(time.Now().Add(l.set.opts.ConnectTimeout)); err != nil {
 		nc.Close()
 		return false, err
 	}
-	r := jsonrpc.NewReader(nc, l.s.o.ValueBytes)
+	r := jsonrpc.NewReader(nc, l.set.opts.ValueBytes)
 	var dec jsonrpc.Decoder
 	writer := make(chan struct{})
-	go func() { defer close(writer); st.send(nc) }()
-	for p.err == nil {
-		if p.binary {
-			if err := frames.Read(r.Remaining(), l.s.o.ValueBytes, p); err != nil {
-				p.err = err
+	go func() { defer close(writer); out.send(nc) }()
+	for h.err == nil {
+		if h.binary {
+			if err := frames.Read(r.Remaining(), l.set.opts.ValueBytes, h); err != nil {
+				h.err = err
 			}
 			continue
 		}
 		value, err := r.Next()
 		if err != nil {
-			p.err = err
+			h.err = err
 			break
 		}
-		dec.Decode(value, p)
+		dec.Decode(value, h)
 	}
 	nc.Close()
-	st.mu.Lock()
-	st.ended = true
-	st.more.Signal()
-	st.mu.Unlock()
+	out.mu.Lock()
+	out.ended = true
+	out.changed.Signal()
+	out.mu.Unlock()
 	<-writer
-	if p.ready {
-		l.s.loop.Post(func() { l.down(st.written, p.err) })
+	if h.ready {
+		l.set.loop.Post(func() { l.connectionLost(out.written, h.err) })
 	}
-	return p.ready, p.err
+	return h.ready, h.err
 }
 
-// send writes until the stream's end or the first error.
+// send writes queued bytes until the stream ends or a write fails.
 func (st *stream) send(nc net.Conn) {
 	var spare []byte
 	for {
 		st.mu.Lock()
-		for len(st.out) == 0 && !st.ended {
-			st.more.Wait()
+		for len(st.unsent) == 0 && !st.ended {
+			st.changed.Wait()
 		}
 		if st.ended {
 			st.mu.Unlock()
 			return
 		}
-		out := st.out
-		st.out, st.writing = spare[:0], true
+		out := st.unsent
+		st.unsent, st.writing = spare[:0], true
 		st.mu.Unlock()
 		n, err := nc.Write(out)
 		st.mu.Lock()
@@ -583,137 +593,140 @@
 	}
 }
 
-// ready has what was held sent; in a turn.
-func (l *Link) ready(st *stream, binary, batches bool) {
-	l.up, l.sent = st, map[string]flight{}
+// workerReady starts using a connection whose worker is ready, and sends the queued requests. It runs in a turn of the
+// event loop.
+func (l *Link) workerReady(out *stream, binary, batches bool) {
+	l.stream, l.inFlight = out, map[string]request{}
 	if binary {
-		l.tell("host.codec", append(jsonrpc.AppendString([]byte(`{"codec":`), frames.CodecName), '}'))
-		st.binary, st.batches = true, batches
+		l.notify("host.codec", append(jsonrpc.AppendString([]byte(`{"codec":`), frames.CodecName), '}'))
+		out.binary, out.batches = true, batches
 	}
-	l.tell("host.ping", append(jsonrpc.AppendString([]byte(`{"front_end":`), l.s.o.FrontEnd), '}'))
-	held := l.held
-	l.held = nil
-	for _, h := range held {
-		h.ask()
+	l.notify("host.ping", append(jsonrpc.AppendString([]byte(`{"front_end":`), l.set.opts.FrontEnd), '}'))
+	queued := l.queued
+	l.queued = nil
+	for _, q := range queued {
+		q.send()
 	}
 }
 
-// down ends all that was out: written tells how many bytes of the stream the socket took.
-func (l *Link) down(written uint64, err error) {
-	l.up = nil
-	var unsent []engine.CallOutID
-	for id, r := range l.s.waiting {
-		if r.l == l {
-			unsent = append(unsent, id)
+// connectionLost ends all requests that were in flight on a lost connection. The socket accepted written bytes of its
+// stream, so a request whose message starts at or beyond written was not sent. It runs in a turn of the event loop.
+func (l *Link) connectionLost(written uint64, err error) {
+	l.stream = nil
+	var batchedIDs []engine.CallOutID
+	for id, r := range l.set.batched {
+		if r.link == l {
+			batchedIDs = append(batchedIDs, id)
 		}
 	}
-	slices.Sort(unsent)
-	for _, id := range unsent {
-		l.s.batches.Remove(riders{l.name, l.s.waiting[id].p.Function}, id)
-		delete(l.s.waiting, id)
-		l.flightOf(id).ended(router.ConnectFailed, "connection to "+l.name+" lost before it left")
+	slices.Sort(batchedIDs)
+	for _, id := range batchedIDs {
+		l.set.batches.Remove(batchKey{l.name, l.set.batched[id].rpc.Function}, id)
+		delete(l.set.batched, id)
+		l.callOutRequest(id).onEnded(router.ConnectFailed, "connection to "+l.name+" lost before it was sent")
 	}
-	sent := l.sent
-	l.sent = map[string]flight{}
+	inFlight := l.inFlight
+	l.inFlight = map[string]request{}
 	cause := fmt.Sprintf("connection to %s lost: %v", l.name, err)
-	for _, id := range sortedByPlace(sent) {
-		if f := sent[id]; f.at >= written {
-			f.ended(router.ConnectFailed, cause) // not a byte of it left: it never ran
+	for _, id := range sortedByOffset(inFlight) {
+		if req := inFlight[id]; req.offset >= written {
+			req.onEnded(router.ConnectFailed, cause) // none of its bytes was sent, so it never ran
 		} else {
-			f.ended(router.Reset, cause)
+			req.onEnded(router.Reset, cause)
 		}
 	}
-	l.retire()
+	l.closeIfIdle()
 }
 
-// peer reads one connection.
-type peer struct {
+// connHandler handles the messages that arrive on one connection.
+type connHandler struct {
 	jsonrpc.IgnoreBatches
-	l      *Link
+	link   *Link
 	nc     net.Conn
-	st     *stream
+	stream *stream
 	ready  bool
 	binary bool
 	err    error
 }
 
-// HandleInvalid implements jsonrpc.Peer: what comes after nonsense can't be trusted.
-func (p *peer) HandleInvalid(_ jsonrpc.ID, _ int, message string) {
-	p.err = fmt.Errorf("nonsense from worker %s: %s", p.l.name, message)
+// HandleInvalid implements jsonrpc.Handler. It ends the connection, since nothing after a malformed message can be
+// trusted.
+func (h *connHandler) HandleInvalid(_ jsonrpc.ID, _ int, message string) {
+	h.err = fmt.Errorf("malformed message from worker %s: %s", h.link.name, message)
 }
 
-// HandleRequest implements jsonrpc.Peer.
-func (p *peer) HandleRequest(_ jsonrpc.ID, method string, params []byte) {
-	l := p.l
+// HandleRequest implements jsonrpc.Handler.
+func (h *connHandler) HandleRequest(_ jsonrpc.ID, method string, params []byte) {
+	l := h.link
 	switch method {
 	case "client.ready":
-		worker, version, offered, batches := "", 0.0, false, false
+		workerName, version, offersFrames, batches := "", 0.0, false, false
 		if len(params) > 0 && params[0] == '{' {
 			_ = jsonrpc.ForEachMember(params, func(name []byte, v jsontext.Value) error {
 				switch string(name) {
 				case "worker":
-					worker, _ = jsonrpc.ParseString(v)
+					workerName, _ = jsonrpc.ParseString(v)
 				case "protocol":
 					version, _ = jsonrpc.ParseNumber(v)
 				case "batches":
 					batches = v.Kind() == 't'
 				case "codecs":
-					offered = bytes.Contains(v, []byte(`"`+frames.CodecName+`"`))
+					offersFrames = bytes.Contains(v, []byte(`"`+frames.CodecName+`"`))
 				}
 				return nil
 			})
 		}
 		switch {
-		case worker != l.name:
-			p.err = fmt.Errorf("worker %.80q answers where %q should", worker, l.name)
+		case workerName != l.name:
+			h.err = fmt.Errorf("worker %.80q answered on the socket of worker %q", workerName, l.name)
 		case version != ProtocolVersion:
-			p.err = fmt.Errorf("worker %s speaks protocol %v, not %d", l.name, version, ProtocolVersion)
-		case p.ready:
-			p.err = fmt.Errorf("worker %s was ready before", l.name)
+			h.err = fmt.Errorf("worker %s uses protocol version %v, want %d", l.name, version, ProtocolVersion)
+		case h.ready:
+			h.err = fmt.Errorf("worker %s sent client.ready twice", l.name)
 		default:
-			p.ready = true
-			p.err = p.nc.SetReadDeadline(time.Time{})
-			l.s.loop.Post(func() { l.ready(p.st, offered, batches) })
+			h.ready = true
+			h.err = h.nc.SetReadDeadline(time.Time{})
+			l.set.loop.Post(func() { l.workerReady(h.stream, offersFrames, batches) })
 		}
-	case "client.codec": // what follows is in frames
-		p.binary = p.ready
+	case "client.codec": // the worker sends frames from here on
+		h.binary = h.ready
 	case "client.fail":
-		p.err = fmt.Errorf("worker %s gives up: %.200s", l.name, params)
+		h.err = fmt.Errorf("worker %s reported a failure: %.200s", l.name, params)
 	}
 }
 
-// HandleResponse implements jsonrpc.Peer.
-func (p *peer) HandleResponse(id jsonrpc.ID, result []byte, code int, message string, data []byte) {
+// HandleResponse implements jsonrpc.Handler.
+func (h *connHandler) HandleResponse(id jsonrpc.ID, result []byte, code int, message string, data []byte) {
 	var blob []byte
-	if text, is := jsonrpc.ParseString(jsonrpc.Member(result, "blob")); is {
+	if text, ok := jsonrpc.ParseString(jsonrpc.Member(result, "blob")); ok {
 		var err error
 		if blob, err = base64.StdEncoding.DecodeString(text); err != nil {
-			p.err = fmt.Errorf("worker %s: blob: %w", p.l.name, err)
+			h.err = fmt.Errorf("worker %s: invalid blob: %w", h.link.name, err)
 			return
 		}
 	}
-	p.HandleResponseBlob(id, result, code, message, data, blob)
+	h.HandleResponseBlob(id, result, code, message, data, blob)
 }
 
-// HandleRequestBlob implements frames.Peer.
-func (p *peer) HandleRequestBlob(id []byte, method string, params, _ []byte) {
-	p.HandleRequest(id, method, params)
+// HandleRequestBlob implements frames.Handler.
+func (h *connHandler) HandleRequestBlob(id []byte, method string, params, _ []byte) {
+	h.HandleRequest(id, method, params)
 }
 
-// HandleResponseBlob implements frames.Peer.
-func (p *peer) HandleResponseBlob(id []byte, result []byte, code int, message string, data, blob []byte) {
-	l, key := p.l, string(id)
-	a := answer{code: code, message: message, blob: blob}
-	a.read(result)
-	a.read(data)
-	l.s.loop.Post(func() {
-		f, out := l.sent[key]
-		if !out {
-			l.s.o.Log.Debug().Str("worker", l.name).Str("id", key).Msg("answer to what is not out")
+// HandleResponseBlob implements frames.Handler.
+func (h *connHandler) HandleResponseBlob(id []byte, result []byte, code int, message string, data, blob []byte) {
+	l, key := h.link, string(id)
+	resp := response{code: code, message: message, blob: blob}
+	resp.decode(result)
+	resp.decode(data)
+	l.set.loop.Post(func() {
+		req, known := l.inFlight[key]
+		if !known {
+			l.set.opts.Log.Debug().Str("worker", l.name).Str("id", key).Msg("response to a request that is not in flight")
 			return
 		}
-		delete(l.sent, key)
-		f.answer(a)
-		l.retire()
+		delete(l.inFlight, key)
+		req.onResponse(resp)
+		l.closeIfIdle()
 	})
 }
