--- a/internal/frames/frames_test.go
+++ b/internal/frames/frames_test.go
@@ -9,15 +9,18 @@
 	"testing"
 )
 
-type told struct{ what string }
+// recorder is a Handler that keeps the last message as text.
+type recorder struct{ call string }
 
-func (p *told) HandleRequestBlob(id []byte, method string, params, blob []byte) {
-	p.what = fmt.Sprintf("asked %s %s %s %x", id, method, params, blob)
+func (r *recorder) HandleRequestBlob(id []byte, method string, params, blob []byte) {
+	r.call = fmt.Sprintf("asked %s %s %s %x", id, method, params, blob)
 }
-func (p *told) HandleResponseBlob(id []byte, result []byte, code int, text string, data, blob []byte) {
-	p.what = fmt.Sprintf("answered %s %s %d %s %s %x", id, result, code, text, data, blob)
+func (r *recorder) HandleResponseBlob(id []byte, result []byte, code int, text string, data, blob []byte) {
+	r.call = fmt.Sprintf("answered %s %s %d %s %s %x", id, result, code, text, data, blob)
 }
 
+// TestFrames checks that messages survive encoding and decoding, and that Read reports truncated, oversized and invalid
+// frames.
 func TestFrames(t *testing.T) {
 	var b []byte
 	b = AppendRequest(b, []byte("7"), "m", []byte(`{"a":1}`), []byte{0, 255})
@@ -26,30 +29,32 @@
 	b = AppendResponse(b, []byte("8"), nil, -5, "no", []byte("{}"), nil)
 	in := bytes.NewReader(b)
 	for _, want := range []string{`asked 7 m {"a":1} 00ff`, "asked  n  ", `answered "x" 1 0   01`, "answered 8  -5 no {} "} {
-		var p told
-		if err := Read(in, 1000, &p); err != nil || p.what != want {
-			t.Errorf("%q, %v, want %q", p.what, err, want)
+		var r recorder
+		if err := Read(in, 1000, &r); err != nil || r.call != want {
+			t.Errorf("got %q, error %v, want %q", r.call, err, want)
 		}
 	}
-	if err := Read(in, 1000, &told{}); err != io.EOF {
-		t.Errorf("at the end: %v", err)
+	if err := Read(in, 1000, &recorder{}); err != io.EOF {
+		t.Errorf("at the end of the stream: %v, want EOF", err)
 	}
-	for text, want := range map[string]string{"\x00\x00\x00\x05ab": "cut short", "\xff\xff\xff\xff": "4294967295 bytes, 1000 are taken",
-		"\x00\x00\x00\x01\x01": "no message", "\x00\x00": "unexpected EOF"} {
-		if err := Read(strings.NewReader(text), 1000, &told{}); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v", text, err)
+	for text, want := range map[string]string{"\x00\x00\x00\x05ab": "cut short", "\xff\xff\xff\xff": "4294967295 bytes exceeds the limit of 1000",
+		"\x00\x00\x00\x01\x01": "not a valid message", "\x00\x00": "unexpected EOF"} {
+		if err := Read(strings.NewReader(text), 1000, &recorder{}); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("reading %q: error %v, want %q", text, err, want)
 		}
 	}
 }
 
+// FuzzRead checks that Read passes a message on or returns an error for any input, and returns io.EOF only at the end of
+// the stream.
 func FuzzRead(f *testing.F) {
 	f.Add(AppendRequest(nil, []byte("7"), "m", []byte("{}"), []byte{1}))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		var p told
-		if err := Read(bytes.NewReader(in), 1<<16, &p); err == nil && p.what == "" {
-			t.Error("nothing told")
+		var r recorder
+		if err := Read(bytes.NewReader(in), 1<<16, &r); err == nil && r.call == "" {
+			t.Error("Read returned no error and passed no message on")
 		} else if errors.Is(err, io.EOF) && len(in) > 0 {
-			t.Errorf("%x: %v", in, err)
+			t.Errorf("reading %x: %v before the end of the stream", in, err)
 		}
 	})
 }
