--- a/internal/rosterwatch/follow.go
+++ b/internal/rosterwatch/follow.go
@@ -1,5 +1,6 @@
-// Package rosterwatch keeps a front end's list of workers after the roster's: it watches, tells the engine of changes,
-// acknowledges what the engine was told, and keeps the last list on disk for the next start.
+// Package rosterwatch keeps a front end's worker list equal to the roster's: it subscribes to the roster, applies
+// changes to the engine and the worker links, acknowledges each applied version, and saves the last list to disk for
+// the next start.
 package rosterwatch
 
 import (
@@ -26,11 +27,11 @@
 	"mallowlanding/router"
 )
 
-// Options are a follower's settings.
+// Options configure a Watcher.
 type Options struct {
 	FrontEnd string
-	Sockets  []string // of rosters: the first that answers is followed
-	Cache    string   // file of the last list; empty: none is kept
+	Sockets  []string // of rosters; the first that accepts a connection is watched
+	Cache    string   // file for the last list; empty: it is not saved
 	Zone     func(string) router.ZoneID
 	Cell     func(string) router.CellID
 	Kind     func(string) router.KindID
@@ -38,16 +39,16 @@
 	Log      zerolog.Logger
 }
 
-// maxList bounds one list's bytes: some hundred thousand workers.
-const maxList = 64 << 20
+// maxListBytes is the maximum size of one worker list: enough for some hundred thousand workers.
+const maxListBytes = 64 << 20
 
-// pauses between attempts to reach the roster.
+// Pauses between attempts to connect to the roster; they double from redialMin to redialMax.
 const (
 	redialMin = 50 * time.Millisecond
 	redialMax = 2 * time.Second
 )
 
-// entry is one worker as last told. It is what the cache file holds.
+// entry is one worker as last listed by the roster, the cache file or the settings. The cache file holds entries.
 type entry struct {
 	Name   string  `json:"name"`
 	Socket string  `json:"socket"`
@@ -55,53 +56,55 @@
 	Zone   string  `json:"zone,omitempty"`
 	Cell   string  `json:"cell,omitempty"`
 	Kind   string  `json:"kind,omitempty"`
-	Life   int64   `json:"life"`   // names one life of the worker: its start by the roster's clock, ms since 1970
-	AgeMs  float64 `json:"age_ms"` // since that start, as the list was sent; below 0: long ago
-	static bool    // no roster named it: it is the settings' own
+	Life   int64   `json:"life"`   // identifies one run of the worker: its start by the roster's clock, ms since 1970
+	AgeMs  float64 `json:"age_ms"` // time since that start when the list was sent; below 0: a long time
+	static bool    // listed by the settings and not by a roster
 }
 
-// StaticWorker is a worker that the settings name themselves: ready unless a roster has told otherwise.
+// StaticWorker is a worker listed in the settings. It counts as ready unless the roster reports another state.
 type StaticWorker struct{ Name, Socket, Zone, Cell, Kind string }
 
+// cacheFile is the content of the file in which the last list is saved.
 type cacheFile struct {
 	SavedUnixMs int64   `json:"saved_unix_ms"`
 	Workers     []entry `json:"workers"`
 }
 
-// life is one life of a worker: when it began, by the loop's clock.
-type life struct {
-	life    int64
+// lifetime is one run of a worker and its start by the event loop's clock.
+type lifetime struct {
+	id      int64
 	started router.Time
 }
 
-// Watcher follows one roster. Its state belongs to the loop's goroutine.
+// Watcher watches one roster at a time. Its worker list is used on the event loop's goroutine only; mu guards the fields
+// of the connection.
 type Watcher struct {
-	o       Options
-	loop    *eventloop.Loop
-	engine  *engine.Engine
-	links   *workerlink.Set
-	entries map[string]entry
-	order   []string
-	lives   map[string]life
-	version uint64
-	saves   chan []entry
-	told    chan struct{}
-	once    sync.Once
-	static  map[string]entry
-
-	mu      sync.Mutex
-	sockets []string
-	current net.Conn // of the roster that is followed
-	at      string   // its socket
+	opts          Options
+	loop          *eventloop.Loop
+	engine        *engine.Engine
+	links         *workerlink.Set
+	entries       map[string]entry
+	order         []string
+	lives         map[string]lifetime
+	version       uint64
+	cacheWrites   chan []entry
+	listReceived  chan struct{}
+	receivedOnce  sync.Once
+	staticWorkers map[string]entry
+
+	mu         sync.Mutex
+	sockets    []string
+	conn       net.Conn // connection to the roster
+	connSocket string   // socket that conn is connected to
 }
 
-// New makes a follower; Run starts it.
-func New(loop *eventloop.Loop, e *engine.Engine, l *workerlink.Set, o Options) *Watcher {
-	return &Watcher{o: o, loop: loop, engine: e, links: l, entries: map[string]entry{}, lives: map[string]life{},
-		saves: make(chan []entry, 1), told: make(chan struct{}), static: statics(o.Static), sockets: o.Sockets}
+// New returns a Watcher. Run starts it.
+func New(loop *eventloop.Loop, e *engine.Engine, links *workerlink.Set, opts Options) *Watcher {
+	return &Watcher{opts: opts, loop: loop, engine: e, links: links, entries: map[string]entry{}, lives: map[string]lifetime{},
+		cacheWrites: make(chan []entry, 1), listReceived: make(chan struct{}), staticWorkers: staticEntries(opts.Static), sockets: opts.Sockets}
 }
 
-func statics(list []StaticWorker) map[string]entry {
+func staticEntries(list []StaticWorker) map[string]entry {
 	out := map[string]entry{}
 	for _, w := range list {
 		out[w.Name] = entry{Name: w.Name, Socket: w.Socket, State: "ready", Zone: w.Zone, Cell: w.Cell, Kind: w.Kind,
@@ -110,72 +113,73 @@
 	return out
 }
 
-// UpdateSettings takes new settings; in a turn. Workers are listed anew, since zones may have new numbers; a worker that the
-// settings name no more, and no roster does, is gone.
-func (f *Watcher) UpdateSettings(o Options) {
-	f.o.Zone, f.o.Cell, f.o.Kind = o.Zone, o.Cell, o.Kind
-	f.static = statics(o.Static)
-	f.engine.BeginWorkerList(router.ListChanges, f.version)
-	for _, name := range f.order {
-		e := f.entries[name]
-		if _, still := f.static[name]; e.static && !still {
+// UpdateSettings applies new settings. All workers are listed again, because zones may have new ids. A static worker
+// that the settings no longer list is removed unless the roster lists it. It runs in a turn of the event loop.
+func (w *Watcher) UpdateSettings(opts Options) {
+	w.opts.Zone, w.opts.Cell, w.opts.Kind = opts.Zone, opts.Cell, opts.Kind
+	w.staticWorkers = staticEntries(opts.Static)
+	w.engine.BeginWorkerList(router.ListChanges, w.version)
+	for _, name := range w.order {
+		e := w.entries[name]
+		if _, listed := w.staticWorkers[name]; e.static && !listed {
 			e.State = "gone"
 		}
-		f.list(e)
+		w.updateWorker(e)
 	}
-	f.listStatic()
-	f.engine.EndWorkerList()
-	f.mu.Lock()
-	f.sockets = o.Sockets
-	if f.current != nil && !slices.Contains(o.Sockets, f.at) {
-		f.current.Close() // the next one is looked for; the last list stands until it tells
+	w.listStaticWorkers()
+	w.engine.EndWorkerList()
+	w.mu.Lock()
+	w.sockets = opts.Sockets
+	if w.conn != nil && !slices.Contains(opts.Sockets, w.connSocket) {
+		w.conn.Close() // Run connects to another roster; the last list is used until that one sends its own
 	}
-	f.mu.Unlock()
+	w.mu.Unlock()
 }
 
-// RosterState tells what a roster said last of a worker; empty: none named it. In a turn.
-func (f *Watcher) RosterState(name string) string {
-	if e, known := f.entries[name]; known && !e.static {
+// RosterState returns the state that the roster last reported for a worker, or "" if it has not listed the worker. It
+// runs in a turn of the event loop.
+func (w *Watcher) RosterState(name string) string {
+	if e, known := w.entries[name]; known && !e.static {
 		return e.State
 	}
 	return ""
 }
 
-// listStatic lists the settings' own workers that no roster has named.
-func (f *Watcher) listStatic() {
-	names := make([]string, 0, len(f.static))
-	for name := range f.static {
+// listStaticWorkers lists the static workers that the roster has not listed.
+func (w *Watcher) listStaticWorkers() {
+	names := make([]string, 0, len(w.staticWorkers))
+	for name := range w.staticWorkers {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		if f.RosterState(name) == "" {
-			f.list(f.static[name])
+		if w.RosterState(name) == "" {
+			w.updateWorker(w.staticWorkers[name])
 		}
 	}
 }
 
-// list tells the engine of one worker, and keeps or drops its link.
-func (f *Watcher) list(w entry) {
-	l := f.lives[w.Name]
-	if err := f.engine.AddListedWorker(w.Name, states[w.State], l.started, f.o.Zone(w.Zone), f.o.Cell(w.Cell), f.o.Kind(w.Kind)); err != nil {
-		f.o.Log.Error().Err(err).Msg("a worker is left out")
+// updateWorker lists one worker at the engine, and adds or removes its link.
+func (w *Watcher) updateWorker(e entry) {
+	life := w.lives[e.Name]
+	if err := w.engine.AddListedWorker(e.Name, readinessByState[e.State], life.started, w.opts.Zone(e.Zone), w.opts.Cell(e.Cell), w.opts.Kind(e.Kind)); err != nil {
+		w.opts.Log.Error().Err(err).Msg("worker ignored: the engine rejects it")
 		return
 	}
-	if _, known := f.entries[w.Name]; !known {
-		f.order = append(f.order, w.Name)
+	if _, known := w.entries[e.Name]; !known {
+		w.order = append(w.order, e.Name)
 	}
-	f.entries[w.Name] = w
-	if w.State == "gone" {
-		f.links.Remove(w.Name)
+	w.entries[e.Name] = e
+	if e.State == "gone" {
+		w.links.Remove(e.Name)
 	} else {
-		f.links.Add(w.Name, w.Socket, nameid.Worker(w.Name))
+		w.links.Add(e.Name, e.Socket, nameid.Worker(e.Name))
 	}
 }
 
-// Ready tells whether the list names a worker that is ready; in a turn.
-func (f *Watcher) Ready() bool {
-	for _, e := range f.entries {
+// Ready reports whether any listed worker is ready. It runs in a turn of the event loop.
+func (w *Watcher) Ready() bool {
+	for _, e := range w.entries {
 		if e.State == "ready" {
 			return true
 		}
@@ -183,28 +187,28 @@
 	return false
 }
 
-// ListReceived is closed once the roster, not the cache, has told a list.
-func (f *Watcher) ListReceived() <-chan struct{} { return f.told }
+// ListReceived returns a channel that is closed when a list from the roster, not from the cache, has been applied.
+func (w *Watcher) ListReceived() <-chan struct{} { return w.listReceived }
 
-var states = map[string]router.Readiness{"gone": router.Gone, "ready": router.Ready, "draining": router.Draining}
+var readinessByState = map[string]router.Readiness{"gone": router.Gone, "ready": router.Ready, "draining": router.Draining}
 
-// Run follows until the context ends. The cached list, if there is one, comes first.
-func (f *Watcher) Run(ctx context.Context) error {
-	f.loadCache()
+// Run watches the roster until the context ends. It starts with the cached list, if there is one.
+func (w *Watcher) Run(ctx context.Context) error {
+	w.loadList()
 	pause := redialMin
 	for ctx.Err() == nil {
-		told, err := f.watch(ctx)
+		received, err := w.watch(ctx)
 		if ctx.Err() != nil {
 			break
 		}
-		if told || pause == redialMin {
-			f.o.Log.Warn().Err(err).Msg("roster lost: the last list stands")
-			f.loop.Post(func() {
-				f.engine.BeginWorkerList(router.ListFailed, f.version)
-				f.engine.EndWorkerList()
+		if received || pause == redialMin {
+			w.opts.Log.Warn().Err(err).Msg("no connection to the roster; using the last worker list")
+			w.loop.Post(func() {
+				w.engine.BeginWorkerList(router.ListFailed, w.version)
+				w.engine.EndWorkerList()
 			})
 		}
-		if told {
+		if received {
 			pause = redialMin
 		}
 		select {
@@ -216,17 +220,17 @@
 	return nil
 }
 
-// dial finds the first roster that answers.
-func (f *Watcher) dial(ctx context.Context) (nc net.Conn, err error) {
-	f.mu.Lock()
-	sockets := f.sockets
-	f.mu.Unlock()
+// dial connects to the first roster that accepts a connection.
+func (w *Watcher) dial(ctx context.Context) (nc net.Conn, err error) {
+	w.mu.Lock()
+	sockets := w.sockets
+	w.mu.Unlock()
 	for _, socket := range sockets {
 		if nc, err = (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "unix", socket); err == nil {
-			f.mu.Lock()
-			f.current, f.at = nc, socket
-			stale := !slices.Contains(f.sockets, socket)
-			f.mu.Unlock()
+			w.mu.Lock()
+			w.conn, w.connSocket = nc, socket
+			stale := !slices.Contains(w.sockets, socket)
+			w.mu.Unlock()
 			if stale { // the settings changed meanwhile
 				nc.Close()
 			}
@@ -236,37 +240,37 @@
 	return nil, err
 }
 
-// watch serves one connection to the roster; told: at least one list came.
-func (f *Watcher) watch(ctx context.Context) (told bool, err error) {
-	nc, err := f.dial(ctx)
+// watch serves one connection to the roster. received reports whether at least one valid list arrived.
+func (w *Watcher) watch(ctx context.Context) (received bool, err error) {
+	nc, err := w.dial(ctx)
 	if err != nil {
 		return false, err
 	}
 	defer nc.Close()
 	stop := context.AfterFunc(ctx, func() { nc.Close() })
 	defer stop()
-	params := append(jsonrpc.AppendString([]byte(`{"front_end":`), f.o.FrontEnd), '}')
-	hello := jsonrpc.AppendFrame(nil, jsonrpc.AppendRequest(nil, nil, "roster.watch", params), false)
-	if _, err := nc.Write(hello); err != nil {
+	params := append(jsonrpc.AppendString([]byte(`{"front_end":`), w.opts.FrontEnd), '}')
+	request := jsonrpc.AppendFrame(nil, jsonrpc.AppendRequest(nil, nil, "roster.watch", params), false)
+	if _, err := nc.Write(request); err != nil {
 		return false, err
 	}
-	r := jsonrpc.NewReader(nc, maxList)
+	r := jsonrpc.NewReader(nc, maxListBytes)
 	var dec jsonrpc.Decoder
-	p := &peer{f: f, acks: make(chan uint64, 1)}
+	handler := &connHandler{watcher: w, acks: make(chan uint64, 1)}
 	done := make(chan struct{})
-	defer func() { nc.Close(); close(p.acks); <-done }()
-	go func() { defer close(done); acknowledge(nc, p.acks) }()
-	for p.err == nil {
+	defer func() { nc.Close(); close(handler.acks); <-done }()
+	go func() { defer close(done); acknowledge(nc, handler.acks) }()
+	for handler.err == nil {
 		value, err := r.Next()
 		if err != nil {
-			return p.told, err
+			return handler.listReceived, err
 		}
-		dec.Decode(value, p)
+		dec.Decode(value, handler)
 	}
-	return p.told, p.err
+	return handler.listReceived, handler.err
 }
 
-// acknowledge says which version the engine was told of; of several at once the last is enough.
+// acknowledge sends the roster the versions that have been applied.
 func acknowledge(nc net.Conn, versions <-chan uint64) {
 	for version := range versions {
 		params := append(strconv.AppendUint([]byte(`{"version":`), version, 10), '}')
@@ -277,35 +281,36 @@
 	}
 }
 
-type peer struct {
+// connHandler handles the messages of one connection to the roster.
+type connHandler struct {
 	jsonrpc.IgnoreBatches
-	f    *Watcher
-	acks chan uint64
-	told bool
-	err  error
+	watcher      *Watcher
+	acks         chan uint64
+	listReceived bool
+	err          error
 }
 
-// HandleInvalid implements jsonrpc.Peer.
-func (p *peer) HandleInvalid(_ jsonrpc.ID, _ int, message string) {
-	p.err = errors.New("nonsense from the roster: " + message)
+// HandleInvalid implements jsonrpc.Handler. It ends the connection.
+func (h *connHandler) HandleInvalid(_ jsonrpc.ID, _ int, message string) {
+	h.err = errors.New("malformed message from the roster: " + message)
 }
 
-// HandleResponse implements jsonrpc.Peer.
-func (p *peer) HandleResponse(jsonrpc.ID, []byte, int, string, []byte) {}
+// HandleResponse implements jsonrpc.Handler. The watcher sends no requests that have a response.
+func (p *connHandler) HandleResponse(jsonrpc.ID, []byte, int, string, []byte) {}
 
-// HandleRequest implements jsonrpc.Peer.
-func (p *peer) HandleRequest(_ jsonrpc.ID, method string, params []byte) {
+// HandleRequest implements jsonrpc.Handler. It applies roster.list and ignores other methods.
+func (h *connHandler) HandleRequest(_ jsonrpc.ID, method string, params []byte) {
 	if method != "roster.list" {
 		return
 	}
-	version, whole := 0.0, false
+	version, complete := 0.0, false
 	var workers []entry
 	err := jsonrpc.ForEachMember(params, func(name []byte, v jsontext.Value) (err error) {
 		switch string(name) {
 		case "version":
 			version, _ = jsonrpc.ParseNumber(v)
 		case "whole":
-			whole = v.Kind() == 't'
+			complete = v.Kind() == 't'
 		case "workers":
 			err = json.Unmarshal(v, &workers)
 		}
@@ -315,156 +320,157 @@
 		err = checkList(workers)
 	}
 	if err != nil {
-		p.err = fmt.Errorf("list %v of the roster: %w", version, err)
+		h.err = fmt.Errorf("invalid worker list, version %v: %w", version, err)
 		return
 	}
-	p.told = true
-	form := router.ListChanges
-	if whole {
-		form = router.ListComplete
+	h.listReceived = true
+	update := router.ListChanges
+	if complete {
+		update = router.ListComplete
 	}
 	applied := make(chan struct{})
-	if !p.f.loop.Post(func() {
-		p.f.apply(form, uint64(version), workers)
+	if !h.watcher.loop.Post(func() {
+		h.watcher.applyList(update, uint64(version), workers)
 		close(applied)
 	}) {
-		p.err = net.ErrClosed
+		h.err = net.ErrClosed
 		return
 	}
-	<-applied // what came with this version binds from now on
-	p.acks <- uint64(version)
+	<-applied // the acknowledgment means that the version is in effect
+	h.acks <- uint64(version)
 }
 
 func checkList(workers []entry) error {
 	names := make([]string, len(workers))
 	for i, w := range workers {
 		if names[i] = w.Name; w.Name == "" || w.Socket == "" {
-			return fmt.Errorf("worker %d has no name or no socket", i)
+			return fmt.Errorf("worker at index %d has no name or no socket", i)
 		}
-		if _, known := states[w.State]; !known {
+		if _, known := readinessByState[w.State]; !known {
 			return fmt.Errorf("worker %q: unknown state %.40q", w.Name, w.State)
 		}
 	}
 	return nameid.CheckDistinct(names, nameid.Worker)
 }
 
-// apply brings a list to the engine; in a turn.
-func (f *Watcher) apply(form router.ListUpdate, version uint64, workers []entry) {
-	f.version = version
-	f.engine.BeginWorkerList(form, version)
+// applyList applies a list to the engine and the links, and queues it for the cache file. It runs in a turn of the event
+// loop.
+func (w *Watcher) applyList(update router.ListUpdate, version uint64, workers []entry) {
+	w.version = version
+	w.engine.BeginWorkerList(update, version)
 	named := map[string]bool{}
-	for _, w := range workers {
-		named[w.Name] = true
-		l := f.lives[w.Name]
-		if l.life != w.Life {
-			l = life{life: w.Life}
-			if now := f.loop.Now(); w.AgeMs >= 0 && w.AgeMs*10 < float64(now) {
-				l.started = now - router.Time(w.AgeMs*10)
+	for _, e := range workers {
+		named[e.Name] = true
+		life := w.lives[e.Name]
+		if life.id != e.Life {
+			life = lifetime{id: e.Life}
+			if now := w.loop.Now(); e.AgeMs >= 0 && e.AgeMs*10 < float64(now) {
+				life.started = now - router.Time(e.AgeMs*10)
 			}
-			f.lives[w.Name] = l
+			w.lives[e.Name] = life
 		}
-		f.list(w)
+		w.updateWorker(e)
 	}
-	if form == router.ListComplete {
-		for _, name := range f.order {
-			if e := f.entries[name]; !named[name] && !e.static && e.State != "gone" {
+	if update == router.ListComplete {
+		for _, name := range w.order {
+			if e := w.entries[name]; !named[name] && !e.static && e.State != "gone" {
 				e.State = "gone"
-				f.entries[name] = e
-				f.links.Remove(name)
+				w.entries[name] = e
+				w.links.Remove(name)
 			}
 		}
 	}
-	f.listStatic()
-	f.engine.EndWorkerList()
-	if form != router.ListCached {
-		f.once.Do(func() { close(f.told) })
+	w.listStaticWorkers()
+	w.engine.EndWorkerList()
+	if update != router.ListCached {
+		w.receivedOnce.Do(func() { close(w.listReceived) })
 	}
-	f.o.Log.Debug().Uint64("version", version).Int("entries", len(workers)).Msg("list of workers")
-	f.save()
+	w.opts.Log.Debug().Uint64("version", version).Int("entries", len(workers)).Msg("worker list applied")
+	w.queueCacheWrite()
 }
 
-// save hands the list to be written; only the latest is.
-func (f *Watcher) save() {
-	if f.o.Cache == "" {
+// queueCacheWrite queues the current list for WriteCache, replacing one that has not been written yet.
+func (w *Watcher) queueCacheWrite() {
+	if w.opts.Cache == "" {
 		return
 	}
-	list := make([]entry, 0, len(f.order))
-	now := f.loop.Now()
-	for _, name := range f.order {
-		e := f.entries[name]
+	list := make([]entry, 0, len(w.order))
+	now := w.loop.Now()
+	for _, name := range w.order {
+		e := w.entries[name]
 		if e.State == "gone" || e.static {
 			continue
 		}
-		if started := f.lives[name].started; started > 0 {
+		if started := w.lives[name].started; started > 0 {
 			e.AgeMs = float64(now-started) / 10
 		}
 		list = append(list, e)
 	}
 	select {
-	case <-f.saves:
+	case <-w.cacheWrites:
 	default:
 	}
-	f.saves <- list
+	w.cacheWrites <- list
 }
 
-// WriteCache writes the lists that come to the cache file until the context ends.
-func (f *Watcher) WriteCache(ctx context.Context) error {
+// WriteCache writes queued lists to the cache file until the context ends.
+func (w *Watcher) WriteCache(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case list := <-f.saves:
-			if err := f.writeCache(list); err != nil {
-				f.o.Log.Warn().Err(err).Msg("list not kept")
+		case list := <-w.cacheWrites:
+			if err := w.saveList(list); err != nil {
+				w.opts.Log.Warn().Err(err).Msg("cannot save the worker list")
 			}
 		}
 	}
 }
 
-func (f *Watcher) writeCache(list []entry) error {
+func (w *Watcher) saveList(list []entry) error {
 	text, err := json.Marshal(cacheFile{SavedUnixMs: time.Now().UnixMilli(), Workers: list})
 	if err != nil {
 		return err
 	}
-	tmp, err := os.CreateTemp(filepath.Dir(f.o.Cache), filepath.Base(f.o.Cache)+".*")
+	tmp, err := os.CreateTemp(filepath.Dir(w.opts.Cache), filepath.Base(w.opts.Cache)+".*")
 	if err != nil {
 		return err
 	}
 	defer os.Remove(tmp.Name())
 	_, err = tmp.Write(text)
-	if err2 := tmp.Close(); err == nil {
-		err = err2
+	if closeErr := tmp.Close(); err == nil {
+		err = closeErr
 	}
 	if err != nil {
 		return err
 	}
-	return os.Rename(tmp.Name(), f.o.Cache)
+	return os.Rename(tmp.Name(), w.opts.Cache)
 }
 
-func (f *Watcher) loadCache() {
-	if f.o.Cache == "" {
+func (w *Watcher) loadList() {
+	if w.opts.Cache == "" {
 		return
 	}
-	text, err := os.ReadFile(f.o.Cache)
+	text, err := os.ReadFile(w.opts.Cache)
 	if errors.Is(err, os.ErrNotExist) {
 		return
 	}
-	var c cacheFile
+	var cached cacheFile
 	if err == nil {
-		err = json.Unmarshal(text, &c)
+		err = json.Unmarshal(text, &cached)
 	}
 	if err == nil {
-		err = checkList(c.Workers)
+		err = checkList(cached.Workers)
 	}
 	if err != nil {
-		f.o.Log.Warn().Err(err).Str("file", f.o.Cache).Msg("the kept list is not used")
+		w.opts.Log.Warn().Err(err).Str("file", w.opts.Cache).Msg("saved worker list is unreadable and not used")
 		return
 	}
-	since := max(0, float64(time.Now().UnixMilli()-c.SavedUnixMs))
-	for i := range c.Workers {
-		if c.Workers[i].AgeMs >= 0 {
-			c.Workers[i].AgeMs += since
+	elapsed := max(0, float64(time.Now().UnixMilli()-cached.SavedUnixMs))
+	for i := range cached.Workers {
+		if cached.Workers[i].AgeMs >= 0 {
+			cached.Workers[i].AgeMs += elapsed
 		}
 	}
-	f.loop.Post(func() { f.apply(router.ListCached, 0, c.Workers) })
+	w.loop.Post(func() { w.applyList(router.ListCached, 0, cached.Workers) })
 }
