--- a/internal/gateway/bench_test.go
+++ b/internal/gateway/bench_test.go
@@ -16,8 +16,8 @@
 	"mallowlanding/internal/standin"
 )
 
-// BenchmarkWarm is one RPC after the other through a front end and a stand-in worker of no work, all in this
-// process: bytes and allocations an RPC are those of client, front end and worker together.
+// BenchmarkWarm sends one RPC after the other through a front end to a stand-in worker that does no work, all in this
+// process. The bytes and allocations per RPC are those of client, front end and worker together.
 func BenchmarkWarm(b *testing.B) {
 	dir, err := os.MkdirTemp("", "ml")
 	if err != nil {
--- a/internal/gateway/configured.go
+++ b/internal/gateway/configured.go
@@ -27,147 +27,151 @@
 	"mallowlanding/router"
 )
 
-// listenAgain is how often a socket of the kept configuration is tried that a predecessor still serves.
-const listenAgain = time.Second
+// listenRetryInterval is the pause between attempts to open a socket that a predecessor may still serve.
+const listenRetryInterval = time.Second
 
-// configured is a front end whose settings change while it runs.
-type configured struct {
-	own   *settings.FrontEnd // as it was started
-	now   atomic.Pointer[settings.FrontEnd]
-	loop  *eventloop.Loop
-	log   zerolog.Logger
-	steer *configclient.Client // nil: no control service
-	took  atomic.Int64         // ns of the turn that took the last version over
+// liveConfig applies new configurations to a running front end.
+type liveConfig struct {
+	initial      *settings.FrontEnd // the settings that the process was started with
+	current      atomic.Pointer[settings.FrontEnd]
+	loop         *eventloop.Loop
+	log          zerolog.Logger
+	configClient *configclient.Client // nil: no control service
+	lastApply    atomic.Int64         // duration of the turn that applied the last version, in ns
 
-	booted *settings.Configuration // of the kept version; nil: none
+	savedConfig *settings.Configuration // the saved configuration that the process started with; nil: none
 
-	endSteer func()
+	stopConfigClient func()
 
-	e       *engine.Engine
-	desk    *dispatch.Dispatcher
-	fo      *rosterwatch.Watcher
-	srv     *clients.Server
-	ks      *kserve.Server
-	clients context.Context // ends with the clients' side
-	group   *errgroup.Group // likewise
+	engine       *engine.Engine
+	dispatcher   *dispatch.Dispatcher
+	watcher      *rosterwatch.Watcher
+	server       *clients.Server
+	kserve       *kserve.Server
+	clientsCtx   context.Context // ends when the clients' side is shut down
+	clientsGroup *errgroup.Group // goroutines of the clients' side
 
 	mu        sync.Mutex
 	stopped   bool
-	listeners map[string]net.Listener // by the socket's path, FRONT filled in
+	listeners map[string]net.Listener // of the configuration, by socket path
 }
 
-// newConfigured begins with the kept version, where there is a good one that fits, else with the front end's own settings.
-func newConfigured(own *settings.FrontEnd, loop *eventloop.Loop, log zerolog.Logger) *configured {
-	c := &configured{own: own, loop: loop, log: log, listeners: map[string]net.Listener{}}
-	c.now.Store(own)
-	if own.Control == nil {
+// newLiveConfig starts with the saved configuration if it is valid and fits the front end's own settings, otherwise
+// with the own settings alone.
+func newLiveConfig(initial *settings.FrontEnd, loop *eventloop.Loop, log zerolog.Logger) *liveConfig {
+	c := &liveConfig{initial: initial, loop: loop, log: log, listeners: map[string]net.Listener{}}
+	c.current.Store(initial)
+	if initial.Control == nil {
 		return c
 	}
-	o := c.steering()
-	b, ok := configclient.LoadInitial(o)
+	opts := c.configClientOptions()
+	saved, ok := configclient.LoadInitial(opts)
 	if ok {
-		conf, next, err := c.read(b.Saved.Version, b.Saved.Text)
+		config, frontEnd, err := c.parse(saved.Saved.Version, saved.Saved.Text)
 		if err == nil {
-			c.booted = conf
-			c.now.Store(next)
-			log.Info().Uint64("version", b.Saved.Version).Dur("age", time.Since(b.Saved.SavedAt)).Msg("begins with the kept configuration")
+			c.savedConfig = config
+			c.current.Store(frontEnd)
+			log.Info().Uint64("version", saved.Saved.Version).Dur("age", time.Since(saved.Saved.SavedAt)).Msg("starting with the saved configuration")
 		} else {
-			log.Warn().Err(err).Uint64("version", b.Saved.Version).Msg("the kept configuration does not fit these settings: begins without")
-			b = configclient.Initial{Source: "own settings"}
+			log.Warn().Err(err).Uint64("version", saved.Saved.Version).Msg("saved configuration does not fit these settings; starting without it")
+			saved = configclient.Initial{Source: "own settings"}
 		}
 	} else {
-		log.Info().Msg("no kept configuration: begins with its own settings")
+		log.Info().Msg("no saved configuration; starting with the front end's own settings")
 	}
-	c.steer = configclient.New(o, b)
+	c.configClient = configclient.New(opts, saved)
 	return c
 }
 
-func (c *configured) steering() configclient.Options {
-	at := c.own.Control
-	return configclient.Options{Name: c.own.Name, Sockets: strings.Fields(at.Sockets), Store: lastgood.Store{FS: lastgood.Disk{}, Path: at.SavePath},
-		RedialMin: eventloop.ToDuration(at.RedialMin), RedialMax: eventloop.ToDuration(at.RedialMax), ReportInterval: eventloop.ToDuration(at.ReportInterval),
-		Counters: c.figures, Check: c.check, Log: c.log}
+func (c *liveConfig) configClientOptions() configclient.Options {
+	control := c.initial.Control
+	return configclient.Options{Name: c.initial.Name, Sockets: strings.Fields(control.Sockets), Store: lastgood.Store{FS: lastgood.Disk{}, Path: control.SavePath},
+		RedialMin: eventloop.ToDuration(control.RedialMin), RedialMax: eventloop.ToDuration(control.RedialMax), ReportInterval: eventloop.ToDuration(control.ReportInterval),
+		Counters: c.counters, Check: c.check, Log: c.log}
 }
 
-// read checks a version's text and gives the front end under it.
-func (c *configured) read(version uint64, text string) (*settings.Configuration, *settings.FrontEnd, error) {
-	conf, err := settings.ReadConfiguration(fmt.Sprintf("version %d", version), strings.NewReader(text))
+// parse validates a version's text and returns it with the front end's settings under it.
+func (c *liveConfig) parse(version uint64, text string) (*settings.Configuration, *settings.FrontEnd, error) {
+	config, err := settings.ReadConfiguration(fmt.Sprintf("version %d", version), strings.NewReader(text))
 	if err != nil {
 		return nil, nil, err
 	}
-	next, err := c.own.WithConfiguration(conf, &c.now.Load().Service)
-	return conf, next, err
+	frontEnd, err := c.initial.WithConfiguration(config, &c.current.Load().Service)
+	return config, frontEnd, err
 }
 
-// parts names what changes with a version, and follows the control service from now on.
-func (c *configured) parts(rest, clientSide context.Context, restGroup, frontGroup *errgroup.Group, e *engine.Engine,
-	desk *dispatch.Dispatcher, fo *rosterwatch.Watcher, srv *clients.Server, ks *kserve.Server) {
-	c.e, c.desk, c.fo, c.srv, c.ks, c.clients, c.group = e, desk, fo, srv, ks, clientSide, frontGroup
-	if c.steer == nil {
+// start sets the components to which new versions are applied, opens the listeners of the saved configuration, and
+// connects to the control service.
+func (c *liveConfig) start(backgroundCtx, clientsCtx context.Context, backgroundGroup, clientsGroup *errgroup.Group, eng *engine.Engine,
+	dispatcher *dispatch.Dispatcher, watcher *rosterwatch.Watcher, server *clients.Server, kserveServer *kserve.Server) {
+	c.engine, c.dispatcher, c.watcher, c.server, c.kserve, c.clientsCtx, c.clientsGroup = eng, dispatcher, watcher, server, kserveServer, clientsCtx, clientsGroup
+	if c.configClient == nil {
 		return
 	}
-	if c.booted != nil {
-		for _, l := range c.booted.Listeners {
-			restGroup.Go(func() error { c.listenUntil(rest, l); return nil })
+	if c.savedConfig != nil {
+		for _, l := range c.savedConfig.Listeners {
+			backgroundGroup.Go(func() error { c.listenWithRetry(backgroundCtx, l); return nil })
 		}
 	}
-	follows, end := context.WithCancel(rest)
-	c.endSteer = end
-	restGroup.Go(func() error { return c.steer.Run(follows) })
+	configCtx, cancel := context.WithCancel(backgroundCtx)
+	c.stopConfigClient = cancel
+	backgroundGroup.Go(func() error { return c.configClient.Run(configCtx) })
 }
 
-// listenUntil opens a socket of the kept configuration: a predecessor that hands over may serve it for a while.
-func (c *configured) listenUntil(ctx context.Context, l settings.Listener) {
-	for told := false; ctx.Err() == nil; told = true {
-		nl, err := clients.Listen(c.path(l), 0o600)
+// listenWithRetry opens and serves a listener of the saved configuration. It retries, because a predecessor may serve
+// the socket until the hand-over is complete.
+func (c *liveConfig) listenWithRetry(ctx context.Context, l settings.Listener) {
+	for logged := false; ctx.Err() == nil; logged = true {
+		nl, err := clients.Listen(c.socketPath(l), 0o600)
 		if err == nil {
-			c.serve(l, nl)
+			c.serveListener(l, nl)
 			return
 		}
-		if !told {
-			c.log.Warn().Err(err).Str("listener", l.Name).Msg("a listener of the kept configuration is tried again")
+		if !logged {
+			c.log.Warn().Err(err).Str("listener", l.Name).Msg("cannot open a listener of the saved configuration yet; retrying")
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(listenAgain):
+		case <-time.After(listenRetryInterval):
 		}
 	}
 }
 
-func (c *configured) path(l settings.Listener) string {
-	return strings.ReplaceAll(l.Socket, "FRONT", c.own.Name)
+func (c *liveConfig) socketPath(l settings.Listener) string {
+	return strings.ReplaceAll(l.Socket, "FRONT", c.initial.Name)
 }
 
-// serve has a listener's clients taken.
-func (c *configured) serve(l settings.Listener, nl net.Listener) {
+// serveListener starts serving a listener of the configuration.
+func (c *liveConfig) serveListener(l settings.Listener, nl net.Listener) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.stopped {
 		nl.Close()
 		return
 	}
-	c.listeners[c.path(l)] = nl
+	c.listeners[c.socketPath(l)] = nl
 	var serve func() error
 	switch l.Front {
 	case "json-rpc":
-		serve = c.srv.AddListener(c.clients, nl)
+		serve = c.server.AddListener(c.clientsCtx, nl)
 	case "http":
-		serve = func() error { return c.ks.Serve(nl) }
+		serve = func() error { return c.kserve.Serve(nl) }
 	default:
-		serve = func() error { return c.ks.ServeGRPC(nl) }
+		serve = func() error { return c.kserve.ServeGRPC(nl) }
 	}
-	c.group.Go(func() error {
+	c.clientsGroup.Go(func() error {
 		if err := serve(); err != nil && !errors.Is(err, net.ErrClosed) {
-			c.log.Warn().Err(err).Str("listener", l.Name).Msg("a listener has ended")
+			c.log.Warn().Err(err).Str("listener", l.Name).Msg("listener failed")
 		}
 		return nil
 	})
 }
 
-// stop has the further listeners take no more, and no version: one that leaves turns none down, either.
-func (c *configured) stop() {
-	if c.endSteer != nil {
-		c.endSteer()
+// stop closes the listeners of the configuration and disconnects from the control service, so that a front end that is
+// stopping neither applies nor refuses a version.
+func (c *liveConfig) stop() {
+	if c.stopConfigClient != nil {
+		c.stopConfigClient()
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -177,73 +181,73 @@
 	}
 }
 
-// following are the follower's options under a configuration; nil: none.
-func (c *configured) following(f *settings.FrontEnd, conf *settings.Configuration) rosterwatch.Options {
-	o := rosterwatch.Options{FrontEnd: f.Name, Sockets: []string{f.Roster.Socket}, Cache: f.Roster.Cache,
-		Zone: f.Service.ZoneID, Cell: f.Service.CellID, Kind: f.Service.KindID, Log: c.log}
-	if conf == nil {
-		return o
+// watcherOptions returns the options of the roster watcher under a configuration; nil: none.
+func (c *liveConfig) watcherOptions(frontEnd *settings.FrontEnd, config *settings.Configuration) rosterwatch.Options {
+	opts := rosterwatch.Options{FrontEnd: frontEnd.Name, Sockets: []string{frontEnd.Roster.Socket}, Cache: frontEnd.Roster.Cache,
+		Zone: frontEnd.Service.ZoneID, Cell: frontEnd.Service.CellID, Kind: frontEnd.Service.KindID, Log: c.log}
+	if config == nil {
+		return opts
 	}
-	if len(conf.Sources) > 0 {
-		o.Sockets = nil
+	if len(config.Sources) > 0 {
+		opts.Sockets = nil
 	}
-	for _, s := range conf.Sources {
-		o.Sockets = append(o.Sockets, s.Socket)
+	for _, s := range config.Sources {
+		opts.Sockets = append(opts.Sockets, s.Socket)
 	}
-	for _, g := range conf.Groups {
+	for _, g := range config.Groups {
 		for _, w := range g.Workers {
-			o.Static = append(o.Static, rosterwatch.StaticWorker{Name: w.Name, Socket: w.Socket, Zone: g.Zone, Cell: g.Cell, Kind: g.Kind})
+			opts.Static = append(opts.Static, rosterwatch.StaticWorker{Name: w.Name, Socket: w.Socket, Zone: g.Zone, Cell: g.Cell, Kind: g.Kind})
 		}
 	}
-	return o
+	return opts
 }
 
-// figures are the sums that the control service watches.
-func (c *configured) figures() *wire.Figures {
-	got := make(chan engine.Counts, 1)
-	if !c.loop.Post(func() { got <- c.e.Counts() }) {
+// counters returns the counters that are reported to the control service.
+func (c *liveConfig) counters() *wire.Figures {
+	counts := make(chan engine.Counts, 1)
+	if !c.loop.Post(func() { counts <- c.engine.Counts() }) {
 		return nil
 	}
-	n := <-got
-	return &wire.Figures{Taken: n.Taken, Ok: n.OK, Denied: n.Denied, Aborted: n.Aborted}
+	total := <-counts
+	return &wire.Figures{Taken: total.Taken, Ok: total.OK, Denied: total.Denied, Aborted: total.Aborted}
 }
 
-// change is a version that was checked.
-type change struct {
-	c       *configured
-	version uint64
-	conf    *settings.Configuration
-	next    *settings.FrontEnd
-	opened  map[string]net.Listener // by path
+// configChange is a version that has been checked. It implements configclient.Change.
+type configChange struct {
+	live      *liveConfig
+	version   uint64
+	config    *settings.Configuration
+	frontEnd  *settings.FrontEnd
+	listeners map[string]net.Listener // new listeners, by socket path
 }
 
-// check holds a version against the schema, this front end's own settings, and what it knows of workers, and opens its
-// sockets: what can fail fails here.
-func (c *configured) check(version uint64, text string) (configclient.Change, error) {
-	conf, next, err := c.read(version, text)
+// check validates a version against the schema, the front end's own settings and the roster's list, and opens its
+// sockets. Everything that can fail is done here and not in Apply.
+func (c *liveConfig) check(version uint64, text string) (configclient.Change, error) {
+	config, frontEnd, err := c.parse(version, text)
 	if err != nil {
 		return nil, err
 	}
-	bad := make(chan error, 1)
+	problem := make(chan error, 1)
 	if !c.loop.Post(func() {
-		for _, g := range conf.Groups {
+		for _, g := range config.Groups {
 			for _, w := range g.Workers {
-				if state := c.fo.RosterState(w.Name); state == "gone" || state == "draining" {
-					bad <- w.Errorf("worker %q of group %q: the roster told that it is %s", w.Name, g.Name, state)
+				if state := c.watcher.RosterState(w.Name); state == "gone" || state == "draining" {
+					problem <- w.Errorf("worker %q of group %q: the roster lists it as %s", w.Name, g.Name, state)
 					return
 				}
 			}
 		}
-		bad <- nil
+		problem <- nil
 	}) {
 		return nil, errors.New("the front end has stopped")
 	}
-	if err := <-bad; err != nil {
+	if err := <-problem; err != nil {
 		return nil, err
 	}
-	ch := &change{c: c, version: version, conf: conf, next: next, opened: map[string]net.Listener{}}
-	for _, l := range conf.Listeners {
-		path := c.path(l)
+	ch := &configChange{live: c, version: version, config: config, frontEnd: frontEnd, listeners: map[string]net.Listener{}}
+	for _, l := range config.Listeners {
+		path := c.socketPath(l)
 		c.mu.Lock()
 		_, open := c.listeners[path]
 		c.mu.Unlock()
@@ -255,39 +259,40 @@
 			ch.Discard()
 			return nil, l.Errorf("listener %q: %v", l.Name, err)
 		}
-		ch.opened[path] = nl
+		ch.listeners[path] = nl
 	}
 	return ch, nil
 }
 
-// Discard implements steer.Change.
-func (ch *change) Discard() {
-	for _, l := range ch.opened {
+// Discard implements configclient.Change.
+func (ch *configChange) Discard() {
+	for _, l := range ch.listeners {
 		l.Close()
 	}
 }
 
-// Apply implements steer.Change: one turn of the loop, in which nothing can fail any more.
-func (ch *change) Apply() error {
-	c, next := ch.c, ch.next
-	module, methods, customers := next.RouterSettings(), next.Service.EngineMethods(), next.Service.CustomerNames()
-	function, following := next.Service.FunctionFor(), c.following(next, ch.conf)
+// Apply implements configclient.Change. The version takes effect in one turn of the event loop, in which nothing can
+// fail.
+func (ch *configChange) Apply() error {
+	c, frontEnd := ch.live, ch.frontEnd
+	routerSettings, methods, customers := frontEnd.RouterSettings(), frontEnd.Service.EngineMethods(), frontEnd.Service.CustomerNames()
+	function, watcherOptions := frontEnd.Service.FunctionFor(), c.watcherOptions(frontEnd, ch.config)
 	var models []kserve.Model
-	if c.ks != nil {
-		models = modelsOf(next)
+	if c.kserve != nil {
+		models = modelsOf(frontEnd)
 	}
-	prepared, service := router.ParseSettings(module), dispatch.NewService(methods, customers, function)
+	parsed, service := router.ParseSettings(routerSettings), dispatch.NewService(methods, customers, function)
 	done := make(chan struct{})
 	if !c.loop.Post(func() {
-		begin := time.Now()
-		c.e.UpdateSettings(module, prepared, methods)
-		c.desk.UpdateSettings(service, next.LimitSettings())
-		if c.ks != nil {
-			c.ks.UpdateSettings(models)
+		began := time.Now()
+		c.engine.UpdateSettings(routerSettings, parsed, methods)
+		c.dispatcher.UpdateSettings(service, frontEnd.LimitSettings())
+		if c.kserve != nil {
+			c.kserve.UpdateSettings(models)
 		}
-		c.fo.UpdateSettings(following)
-		c.now.Store(next)
-		c.took.Store(int64(time.Since(begin)))
+		c.watcher.UpdateSettings(watcherOptions)
+		c.current.Store(frontEnd)
+		c.lastApply.Store(int64(time.Since(began)))
 		close(done)
 	}) {
 		ch.Discard()
@@ -295,22 +300,22 @@
 	}
 	<-done
 	wanted := map[string]bool{}
-	for _, l := range ch.conf.Listeners {
-		path := c.path(l)
+	for _, l := range ch.config.Listeners {
+		path := c.socketPath(l)
 		wanted[path] = true
-		if nl := ch.opened[path]; nl != nil {
-			c.serve(l, nl)
+		if nl := ch.listeners[path]; nl != nil {
+			c.serveListener(l, nl)
 		}
 	}
 	c.mu.Lock()
 	for path, l := range c.listeners {
-		if !wanted[path] { // who is connected stays
+		if !wanted[path] { // connections that were accepted on it stay open
 			l.Close()
 			delete(c.listeners, path)
 		}
 	}
 	c.mu.Unlock()
-	c.log.Info().Uint64("version", ch.version).Dur("turn", time.Duration(c.took.Load())).Int("methods", len(methods)).
+	c.log.Info().Uint64("version", ch.version).Dur("turn", time.Duration(c.lastApply.Load())).Int("methods", len(methods)).
 		Msg("configuration applied")
 	return nil
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,4 +1,5 @@
-// Package gateway puts a front end together: engine and loop, clients, links to workers, and the followed list.
+// Package gateway assembles and runs a front end: the event loop, the engine, the servers for clients, the links to
+// workers, and the watcher of the roster.
 package gateway
 
 import (
@@ -29,377 +30,382 @@
 	"mallowlanding/router"
 )
 
-// rosterPatience is how long a successor waits for the roster's list before it takes over by the cached one.
-const rosterPatience = 3 * time.Second
+// rosterTimeout is how long a successor waits for the roster's list before it takes over with the cached one.
+const rosterTimeout = 3 * time.Second
 
-// look is how often a leaving front end looks whether all is answered.
-const look = 5 * time.Millisecond
+// drainPollInterval is how often a stopping front end checks whether every RPC is answered.
+const drainPollInterval = 5 * time.Millisecond
 
-// machine is an engine whose turns end with what they made going out.
-type machine struct {
+// loopHandler handles the turns of the event loop: it is the engine, and at the end of a turn also admits queued RPCs
+// and sends what the turn produced to workers and clients.
+type loopHandler struct {
 	*engine.Engine
-	links   *workerlink.Set
-	desk    *dispatch.Dispatcher
-	clients *clients.Server
+	links      *workerlink.Set
+	dispatcher *dispatch.Dispatcher
+	clients    *clients.Server
 }
 
-// BeginTurn begins a turn.
-func (m *machine) BeginTurn(now router.Time) {
-	m.desk.BeginTurn(now)
-	m.links.BeginTurn(now)
-	m.Engine.BeginTurn(now)
+// BeginTurn implements eventloop.Handler.
+func (h *loopHandler) BeginTurn(now router.Time) {
+	h.dispatcher.BeginTurn(now)
+	h.links.BeginTurn(now)
+	h.Engine.BeginTurn(now)
 }
 
-// NextDue tells when a turn is wanted though nothing comes.
-func (m *machine) NextDue() (router.Time, bool) {
-	a, anyA := m.Engine.NextDue()
-	b, anyB := m.desk.NextDue()
-	if anyA && (!anyB || a < b) {
-		b, anyB = a, true
+// NextDue implements eventloop.Handler. It returns the earliest due time of the engine, the dispatcher and the links.
+func (h *loopHandler) NextDue() (router.Time, bool) {
+	engineDue, hasEngineDue := h.Engine.NextDue()
+	nextDue, hasNextDue := h.dispatcher.NextDue()
+	if hasEngineDue && (!hasNextDue || engineDue < nextDue) {
+		nextDue, hasNextDue = engineDue, true
 	}
-	if c, anyC := m.links.NextDue(); anyC && (!anyB || c < b) {
-		return c, true
+	if linkDue, hasLinkDue := h.links.NextDue(); hasLinkDue && (!hasNextDue || linkDue < nextDue) {
+		return linkDue, true
 	}
-	return b, anyB
+	return nextDue, hasNextDue
 }
 
-// EndTurn ends a turn.
-func (m *machine) EndTurn() {
-	m.desk.Admit()
-	m.Engine.EndTurn()
-	m.links.SendDueBatches()
-	m.links.Flush()
-	m.clients.Flush()
+// EndTurn implements eventloop.Handler.
+func (h *loopHandler) EndTurn() {
+	h.dispatcher.Admit()
+	h.Engine.EndTurn()
+	h.links.SendDueBatches()
+	h.links.Flush()
+	h.clients.Flush()
 }
 
-// OutputHooks changes what goes out of a front end. It is there for tests that must see a wrong front end caught; nil
-// members change nothing.
+// OutputHooks change the output of a front end. They let tests check that a faulty front end is detected. A nil hook
+// changes nothing.
 type OutputHooks struct {
 	Link   func(worker string, l engine.Link) engine.Link
 	Client func(c engine.Client) engine.Client
 	Answer func(value []byte) []byte
 }
 
-// Serve runs a front end until the context ends, and then takes no more RPCs, answers those that it holds, and
-// leaves: within the settings' time after the end. Ready is called once RPCs are taken.
+// Serve runs a front end until the context ends. It then accepts no more RPCs, answers the open ones and returns,
+// within the time that the settings allow for a stop. ready is called when RPCs are accepted.
 func Serve(ctx context.Context, f *settings.FrontEnd, log zerolog.Logger, ready func()) error {
 	return ServeWithHooks(ctx, f, log, ready, OutputHooks{})
 }
 
-// ServeWithHooks is Serve with what goes out changed.
-func ServeWithHooks(ctx context.Context, f *settings.FrontEnd, log zerolog.Logger, ready func(), o OutputHooks) error {
+// ServeWithHooks is Serve with hooks that change the output.
+func ServeWithHooks(ctx context.Context, f *settings.FrontEnd, log zerolog.Logger, ready func(), hooks OutputHooks) error {
 	log = log.With().Str("front_end", f.Name).Logger()
 	mode, err := strconv.ParseUint(f.Clients.Mode, 8, 32)
 	if err != nil {
 		return f.Clients.Errorf("mode: %v", err)
 	}
-	listener, more, confirm, err := listen(f, os.FileMode(mode), log)
+	listener, extra, confirm, err := listen(f, os.FileMode(mode), log)
 	if err != nil {
 		return err
 	}
-	return serve(ctx, f, log, listener, more, confirm, ready, o)
+	return serve(ctx, f, log, listener, extra, confirm, ready, hooks)
 }
 
-// listen gives the client socket: a service manager's, a predecessor's, or a new one. Confirm tells the predecessor
-// that this process serves; nil: there is none.
-func listen(f *settings.FrontEnd, mode os.FileMode, log zerolog.Logger) (l *net.UnixListener, more []handover.Listener,
+// listen returns the client socket, opened by a service manager, handed over by a predecessor, or new. In a
+// hand-over, extra are the predecessor's other listeners, and confirm notifies it that this process serves; otherwise
+// both are nil.
+func listen(f *settings.FrontEnd, mode os.FileMode, log zerolog.Logger) (l *net.UnixListener, extra []handover.Listener,
 	confirm func() error, err error) {
 	if l, err = handover.Inherited(); err != nil || l != nil {
 		return l, nil, nil, err
 	}
 	if f.Clients.HandOver != "" {
-		var ls []handover.Listener
-		ls, confirm, err = handover.Request(f.Clients.HandOver)
+		var listeners []handover.Listener
+		listeners, confirm, err = handover.Request(f.Clients.HandOver)
 		if err == nil {
-			u, is := ls[0].(*net.UnixListener)
-			if want := 1 + len(places(f)); !is || len(ls) != want {
-				for _, l := range ls {
+			unixListener, ok := listeners[0].(*net.UnixListener)
+			if want := 1 + len(kserveSockets(f)); !ok || len(listeners) != want {
+				for _, l := range listeners {
 					l.Close()
 				}
-				return nil, nil, nil, fmt.Errorf("hand-over: the old process serves %d sockets, these settings %d", len(ls), want)
+				return nil, nil, nil, fmt.Errorf("hand-over: the predecessor serves %d sockets, but these settings need %d", len(listeners), want)
 			}
-			log.Info().Str("from", f.Clients.HandOver).Int("sockets", len(ls)).Msg("client sockets taken over")
-			return u, ls[1:], confirm, nil
+			log.Info().Str("from", f.Clients.HandOver).Int("sockets", len(listeners)).Msg("client sockets taken over")
+			return unixListener, listeners[1:], confirm, nil
 		}
 		if !errors.Is(err, os.ErrNotExist) && !errors.Is(err, syscall.ECONNREFUSED) {
 			return nil, nil, nil, fmt.Errorf("hand-over: %w", err)
 		}
 	}
-	made, err := clients.Listen(f.Clients.Socket, mode)
+	created, err := clients.Listen(f.Clients.Socket, mode)
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	return made.(*net.UnixListener), nil, nil, nil
+	return created.(*net.UnixListener), nil, nil, nil
 }
 
-func serve(ctx context.Context, own *settings.FrontEnd, log zerolog.Logger, listener *net.UnixListener,
-	more []handover.Listener, confirm func() error, ready func(), o OutputHooks) error {
+// serve runs a front end on the given listeners.
+func serve(ctx context.Context, initial *settings.FrontEnd, log zerolog.Logger, listener *net.UnixListener,
+	extra []handover.Listener, confirm func() error, ready func(), hooks OutputHooks) error {
 	loop := eventloop.NewLoop()
-	cf := newConfigured(own, loop, log)
-	f := cf.now.Load()
-	e := engine.New(engine.Options{Settings: f.RouterSettings(), Seed: f.Seed, Now: loop.Now(), AnswerMargin: f.Clients.Margin,
+	live := newLiveConfig(initial, loop, log)
+	f := live.current.Load()
+	eng := engine.New(engine.Options{Settings: f.RouterSettings(), Seed: f.Seed, Now: loop.Now(), AnswerMargin: f.Clients.Margin,
 		CancelWait: f.Clients.CallOff,
 		Log:        func(text string) { log.Info().Str("from", "module").Msg(text) }})
 
-	// parts end in turn: first the clients' side, once all is answered, then the rest, last the loop
-	rest, endRest := context.WithCancel(context.Background())
-	defer endRest()
-	clientSide, endFront := context.WithCancel(context.Background())
-	defer endFront()
-	loopCtx, endLoop := context.WithCancel(context.Background())
-	defer endLoop()
+	// shutdown order: the clients' side once every RPC is answered, then the other goroutines, the event loop last
+	backgroundCtx, cancelBackground := context.WithCancel(context.Background())
+	defer cancelBackground()
+	clientsCtx, cancelClients := context.WithCancel(context.Background())
+	defer cancelClients()
+	loopCtx, cancelLoop := context.WithCancel(context.Background())
+	defer cancelLoop()
 
-	ls := workerlink.New(rest, loop, e, workerlink.Options{FrontEnd: f.Name,
+	linkSet := workerlink.New(backgroundCtx, loop, eng, workerlink.Options{FrontEnd: f.Name,
 		ConnectTimeout: eventloop.ToDuration(f.Service.CallOuts.ConnectTimeOut), ValueBytes: f.Workers.ValueBytes,
 		QueuedBytes: f.Workers.SendBytes, RedialMin: eventloop.ToDuration(f.Workers.RedialMin),
-		RedialMax: eventloop.ToDuration(f.Workers.RedialMax), WrapLink: o.Link, Log: log})
-	fo := rosterwatch.New(loop, e, ls, cf.following(f, cf.booted))
-	desk := dispatch.New(e, dispatch.Options{Methods: f.Service.EngineMethods(), Customers: f.Service.CustomerNames(),
-		FunctionSpec: f.Service.FunctionFor(), AnswerMargin: f.Clients.Margin, Limits: f.LimitSettings(), WrapClient: o.Client})
-	srv := clients.New(loop, desk, clients.Options{
+		RedialMax: eventloop.ToDuration(f.Workers.RedialMax), WrapLink: hooks.Link, Log: log})
+	watcher := rosterwatch.New(loop, eng, linkSet, live.watcherOptions(f, live.savedConfig))
+	dispatcher := dispatch.New(eng, dispatch.Options{Methods: f.Service.EngineMethods(), Customers: f.Service.CustomerNames(),
+		FunctionSpec: f.Service.FunctionFor(), AnswerMargin: f.Clients.Margin, Limits: f.LimitSettings(), WrapClient: hooks.Client})
+	server := clients.New(loop, dispatcher, clients.Options{
 		Limits: clients.Limits{Connections: f.Clients.Connections, OpenRPCs: f.Clients.Open,
 			ValueBytes: f.Clients.ValueBytes, AnswerBytes: f.Clients.AnswerBytes,
 			WriteTimeout: eventloop.ToDuration(f.Clients.WriteTimeOut)},
-		RewriteAnswer: o.Answer, Allow: allow(f), Status: func() []byte { return status(f, e, desk, cf) }, Log: log})
+		RewriteAnswer: hooks.Answer, Allow: accessRules(f), Status: func() []byte { return status(f, eng, dispatcher, live) }, Log: log})
 
-	var loopGroup, restGroup, frontGroup errgroup.Group
-	loopGroup.Go(func() error { loop.Run(loopCtx, &machine{e, ls, desk, srv}); return nil })
-	restGroup.Go(func() error { return fo.Run(rest) })
-	restGroup.Go(func() error { return fo.WriteCache(rest) })
-	failed := make(chan error, 6)
-	frontGroup.Go(func() error {
-		err := srv.Serve(clientSide, listener)
+	var loopGroup, backgroundGroup, clientsGroup errgroup.Group
+	loopGroup.Go(func() error { loop.Run(loopCtx, &loopHandler{eng, linkSet, dispatcher, server}); return nil })
+	backgroundGroup.Go(func() error { return watcher.Run(backgroundCtx) })
+	backgroundGroup.Go(func() error { return watcher.WriteCache(backgroundCtx) })
+	failures := make(chan error, 6)
+	clientsGroup.Go(func() error {
+		err := server.Serve(clientsCtx, listener)
 		if err != nil {
-			failed <- err
+			failures <- err
 		}
 		return err
 	})
-	ks, more, err := serveKServe(rest, more, f, &restGroup, &frontGroup, loop, desk, e, fo, failed, log)
+	kserveServer, extra, err := serveKServe(backgroundCtx, extra, f, &backgroundGroup, &clientsGroup, loop, dispatcher, eng, watcher, failures, log)
 	if err != nil {
-		failed <- err
+		failures <- err
 	}
-	cf.parts(rest, clientSide, &restGroup, &frontGroup, e, desk, fo, srv, ks)
+	live.start(backgroundCtx, clientsCtx, &backgroundGroup, &clientsGroup, eng, dispatcher, watcher, server, kserveServer)
 	log.Info().Str("socket", f.Clients.Socket).Int("number", f.Number).Int("of", f.Of).Msg("front end takes RPCs")
 	if ready != nil {
 		ready()
 	}
 
-	var handed <-chan struct{}
+	var handedOver <-chan struct{}
 	if err == nil {
-		handed, err = handOver(rest, &restGroup, f, listener, more, confirm, fo.ListReceived())
+		handedOver, err = handOver(backgroundCtx, &backgroundGroup, f, listener, extra, confirm, watcher.ListReceived())
 	}
 	if err == nil {
 		select {
 		case <-ctx.Done():
-		case err = <-failed:
-		case <-handed:
-			log.Info().Msg("client socket handed over: what is held is answered")
+		case err = <-failures:
+		case <-handedOver:
+			log.Info().Msg("client sockets handed over; answering the open RPCs")
 		}
 	}
-	cf.stop()
-	began := time.Now()
-	isHanded := false
+	live.stop()
+	stopBegan := time.Now()
+	wasHandedOver := false
 	select {
-	case <-handed:
-		isHanded = true
-		srv.CloseRead() // what was sent by now is taken
+	case <-handedOver:
+		wasHandedOver = true
+		server.CloseRead() // RPCs that were sent before are still accepted
 	default:
 		listener.Close()
 	}
-	within := eventloop.ToDuration(cf.now.Load().Stop.Within)
-	deadline := time.After(within)
-	open := make(chan int, 1)
-	left := -1
+	stopTimeout := eventloop.ToDuration(live.current.Load().Stop.Within)
+	deadline := time.After(stopTimeout)
+	openCount := make(chan int, 1)
+	unanswered := -1
 drain:
 	for {
 		loop.Post(func() {
-			if !isHanded {
-				desk.Drain()
+			if !wasHandedOver {
+				dispatcher.Drain()
 			}
-			open <- e.Counts().Open + desk.Waiting()
+			openCount <- eng.Counts().Open + dispatcher.Waiting()
 		})
-		if left = <-open; left == 0 && srv.Flushed() && (!isHanded || srv.Connections() == 0) {
+		if unanswered = <-openCount; unanswered == 0 && server.Flushed() && (!wasHandedOver || server.Connections() == 0) {
 			break
 		}
 		select {
 		case <-deadline:
 			break drain
-		case <-time.After(look):
+		case <-time.After(drainPollInterval):
 		}
 	}
 	counts := make(chan engine.Counts, 1)
-	loop.Post(func() { counts <- e.Counts() })
-	c := <-counts
-	// what was sent by now is read, and denied; what comes later can't be sent
-	srv.CloseRead()
-	if ks != nil {
-		last, end := context.WithTimeout(context.Background(), within)
-		ks.Drain(last)
-		end()
-		ks.Close()
+	loop.Post(func() { counts <- eng.Counts() })
+	total := <-counts
+	// RPCs sent before this are read and denied; clients can send no more
+	server.CloseRead()
+	if kserveServer != nil {
+		drainCtx, endDrain := context.WithTimeout(context.Background(), stopTimeout)
+		kserveServer.Drain(drainCtx)
+		endDrain()
+		kserveServer.Close()
 	}
-	ended := make(chan struct{})
-	go func() { defer close(ended); _ = frontGroup.Wait() }()
+	clientsEnded := make(chan struct{})
+	go func() { defer close(clientsEnded); _ = clientsGroup.Wait() }()
 	select {
-	case <-ended:
-	case <-time.After(within):
+	case <-clientsEnded:
+	case <-time.After(stopTimeout):
 	}
-	endFront()
-	<-ended
-	endRest()
-	_ = restGroup.Wait()
-	endLoop()
+	cancelClients()
+	<-clientsEnded
+	cancelBackground()
+	_ = backgroundGroup.Wait()
+	cancelLoop()
 	_ = loopGroup.Wait()
-	ls.Wait()
-	log.Info().Int("unanswered", left).Dur("after", time.Since(began)).Uint64("taken", c.Taken).Uint64("ok", c.OK).
-		Uint64("denied", c.Denied).Uint64("aborted", c.Aborted).Uint64("left", c.Left).Msg("front end has left")
+	linkSet.Wait()
+	log.Info().Int("unanswered", unanswered).Dur("after", time.Since(stopBegan)).Uint64("taken", total.Taken).Uint64("ok", total.OK).
+		Uint64("denied", total.Denied).Uint64("aborted", total.Aborted).Uint64("left", total.Left).Msg("front end has left")
 	return err
 }
 
-// serveKServe runs the second front, where the settings have one.
-func serveKServe(ctx context.Context, taken []handover.Listener, f *settings.FrontEnd, rest, group *errgroup.Group, loop *eventloop.Loop,
-	desk *dispatch.Dispatcher, e *engine.Engine, fo *rosterwatch.Watcher, failed chan<- error, log zerolog.Logger) (*kserve.Server,
+// serveKServe starts the KServe server, if the settings have one, on the listeners taken over or on new ones. It
+// returns the server and its listeners.
+func serveKServe(ctx context.Context, takenOver []handover.Listener, f *settings.FrontEnd, backgroundGroup, clientsGroup *errgroup.Group, loop *eventloop.Loop,
+	dispatcher *dispatch.Dispatcher, eng *engine.Engine, watcher *rosterwatch.Watcher, failures chan<- error, log zerolog.Logger) (*kserve.Server,
 	[]handover.Listener, error) {
 	k := f.KServe
 	if k == nil {
 		return nil, nil, nil
 	}
-	o := kserve.Options{Name: f.Name, BodyBytes: k.BodyBytes, TimeHeader: k.TimeHeader,
-		CustomerHeader: k.CustomerHeader, TokenHeader: k.TokenHeader, Ready: fo.Ready, Halted: e.LoadsHalted, Log: log}
-	o.Models = modelsOf(f)
+	opts := kserve.Options{Name: f.Name, BodyBytes: k.BodyBytes, TimeHeader: k.TimeHeader,
+		CustomerHeader: k.CustomerHeader, TokenHeader: k.TokenHeader, Ready: watcher.Ready, Halted: eng.LoadsHalted, Log: log}
+	opts.Models = modelsOf(f)
 	if k.TLS != nil {
 		store, err := certs.Open(certs.Files{Cert: k.TLS.Cert, Key: k.TLS.Key, ClientCA: k.TLS.ClientCA}, log)
 		if err != nil {
 			return nil, nil, k.TLS.Errorf("%v", err)
 		}
-		rest.Go(func() error {
+		backgroundGroup.Go(func() error {
 			store.Watch(ctx, eventloop.ToDuration(k.TLS.Reload), time.Duration(k.TLS.WarnDays*24*float64(time.Hour)))
 			return nil
 		})
-		o.Keys = store
+		opts.Keys = store
 		for _, c := range k.TLS.Clients {
-			o.Clients = append(o.Clients, certs.Client{Name: c.Name, Customer: c.Customer, Methods: strings.Fields(c.Methods)})
+			opts.Clients = append(opts.Clients, certs.Client{Name: c.Name, Customer: c.Customer, Methods: strings.Fields(c.Methods)})
 		}
 	}
-	s := kserve.New(loop, desk, o)
-	http, grpc := s.Serve, s.ServeGRPC
-	if o.Keys != nil {
-		http, grpc = s.ServeTLS, s.ServeGRPCTLS
+	server := kserve.New(loop, dispatcher, opts)
+	http, grpc := server.Serve, server.ServeGRPC
+	if opts.Keys != nil {
+		http, grpc = server.ServeTLS, server.ServeGRPCTLS
 	}
-	serves := map[string]func(net.Listener) error{"http unix": s.Serve, "http tcp": http, "grpc unix": s.ServeGRPC,
+	serves := map[string]func(net.Listener) error{"http unix": server.Serve, "http tcp": http, "grpc unix": server.ServeGRPC,
 		"grpc tcp": grpc}
-	ls := taken
-	for i, at := range places(f) {
-		if len(taken) == 0 {
+	listeners := takenOver
+	for i, sock := range kserveSockets(f) {
+		if len(takenOver) == 0 {
 			var l net.Listener
 			var err error
-			if at.network == "unix" {
-				l, err = clients.Listen(at.address, 0o600)
+			if sock.network == "unix" {
+				l, err = clients.Listen(sock.address, 0o600)
 			} else {
-				l, err = net.Listen(at.network, at.address)
+				l, err = net.Listen(sock.network, sock.address)
 			}
 			if err != nil {
-				return s, ls, err
+				return server, listeners, err
 			}
-			ls = append(ls, l.(handover.Listener))
+			listeners = append(listeners, l.(handover.Listener))
 		}
-		l, serve := ls[i], serves[at.front+" "+at.network]
-		log.Info().Str("address", l.Addr().String()).Msg("front end takes infers")
-		group.Go(func() error {
+		l, serve := listeners[i], serves[sock.protocol+" "+sock.network]
+		log.Info().Str("address", l.Addr().String()).Msg("front end serves KServe inference requests")
+		clientsGroup.Go(func() error {
 			err := serve(l)
-			if errors.Is(err, net.ErrClosed) { // handed over
+			if errors.Is(err, net.ErrClosed) { // closed after a hand-over
 				err = nil
 			}
 			if err != nil {
-				failed <- err
+				failures <- err
 			}
 			return err
 		})
 	}
-	return s, ls, nil
+	return server, listeners, nil
 }
 
-// modelsOf are a front end's models, by the places of its methods.
+// modelsOf returns the models of a front end. They refer to its methods by index.
 func modelsOf(f *settings.FrontEnd) (out []kserve.Model) {
 	for i := range f.KServe.Models {
 		m := &f.KServe.Models[i]
 		out = append(out, kserve.Model{Name: m.Name, Version: m.Version, Platform: m.Platform,
-			Method: f.KServe.MethodOf(&f.Service, m), Function: m.FunctionOf(), Inputs: metas(m.Inputs), Outputs: metas(m.Outputs)})
+			Method: f.KServe.MethodOf(&f.Service, m), Function: m.FunctionOf(), Inputs: tensorMetas(m.Inputs), Outputs: tensorMetas(m.Outputs)})
 	}
 	return out
 }
 
-// place is a socket of the second front.
-type place struct{ front, network, address string }
+// kserveSocket is a socket of the KServe server.
+type kserveSocket struct{ protocol, network, address string }
 
-// places are the second front's, in the order in which they are handed over.
-func places(f *settings.FrontEnd) (out []place) {
+// kserveSockets returns the sockets of the KServe server, in the order in which they are handed over.
+func kserveSockets(f *settings.FrontEnd) (out []kserveSocket) {
 	if f.KServe == nil {
 		return nil
 	}
-	for _, p := range []place{{"http", "unix", f.KServe.Socket}, {"http", "tcp", f.KServe.Address},
+	for _, socket := range []kserveSocket{{"http", "unix", f.KServe.Socket}, {"http", "tcp", f.KServe.Address},
 		{"grpc", "unix", f.KServe.GRPCSocket}, {"grpc", "tcp", f.KServe.GRPCAddress}} {
-		if p.address != "" {
-			out = append(out, p)
+		if socket.address != "" {
+			out = append(out, socket)
 		}
 	}
 	return out
 }
 
-func metas(ts []settings.Tensor) (out []kserve.TensorMeta) {
-	for i := range ts {
-		dims, _ := ts[i].Dims() // checked with the settings
-		out = append(out, kserve.TensorMeta{Name: ts[i].Name, Datatype: ts[i].Datatype, Shape: dims})
+func tensorMetas(tensors []settings.Tensor) (out []kserve.TensorMeta) {
+	for i := range tensors {
+		shape, _ := tensors[i].Dims() // validated when the settings were read
+		out = append(out, kserve.TensorMeta{Name: tensors[i].Name, Datatype: tensors[i].Datatype, Shape: shape})
 	}
 	return out
 }
 
-// handOver confirms to a predecessor, and offers the socket to a successor; the channel is closed once one has it.
+// handOver confirms the hand-over to a predecessor, if there is one, and offers the listeners to a successor. The
+// returned channel is closed when a successor has taken them.
 func handOver(ctx context.Context, group *errgroup.Group, f *settings.FrontEnd, listener *net.UnixListener,
-	more []handover.Listener, confirm func() error, told <-chan struct{}) (<-chan struct{}, error) {
-	handed := make(chan struct{})
+	extra []handover.Listener, confirm func() error, listReceived <-chan struct{}) (<-chan struct{}, error) {
+	handedOver := make(chan struct{})
 	if confirm != nil {
-		select { // it takes over once it knows of workers, or when the roster does not say
-		case <-told:
-		case <-time.After(rosterPatience):
+		select { // take over when the workers are known, or the roster does not answer in time
+		case <-listReceived:
+		case <-time.After(rosterTimeout):
 		}
 		if err := confirm(); err != nil {
-			return handed, fmt.Errorf("hand-over: %w", err)
+			return handedOver, fmt.Errorf("hand-over: %w", err)
 		}
-		for _, l := range append([]handover.Listener{listener}, more...) {
-			if u, is := l.(*net.UnixListener); is {
-				u.SetUnlinkOnClose(true) // the path is this process's now
+		for _, l := range append([]handover.Listener{listener}, extra...) {
+			if u, ok := l.(*net.UnixListener); ok {
+				u.SetUnlinkOnClose(true) // this process now owns the path
 			}
 		}
 	}
 	if f.Clients.HandOver == "" {
-		return handed, nil
+		return handedOver, nil
 	}
 	l, err := clients.Listen(f.Clients.HandOver, 0o600)
 	if err != nil {
-		return handed, err
+		return handedOver, err
 	}
 	group.Go(func() error {
-		all := append([]handover.Listener{listener}, more...)
+		all := append([]handover.Listener{listener}, extra...)
 		if handover.Offer(ctx, l, all, func() {
 			for _, l := range all {
-				if u, is := l.(*net.UnixListener); is {
+				if u, ok := l.(*net.UnixListener); ok {
 					u.SetUnlinkOnClose(false)
 				}
 				l.Close()
 			}
 		}) {
-			close(handed)
+			close(handedOver)
 		}
 		return nil
 	})
-	return handed, nil
+	return handedOver, nil
 }
 
-func allow(f *settings.FrontEnd) (list access.Rules) {
+func accessRules(f *settings.FrontEnd) (rules access.Rules) {
 	for _, a := range f.Clients.Allow {
-		list = append(list, access.Rule{UID: a.UID, GID: a.GID, Methods: strings.Fields(a.Methods),
+		rules = append(rules, access.Rule{UID: a.UID, GID: a.GID, Methods: strings.Fields(a.Methods),
 			Customers: strings.Fields(a.Customers)})
 	}
-	return list
+	return rules
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -25,52 +25,55 @@
 	"mallowlanding/internal/settings"
 )
 
-// A file has conversations, each under a line of '== NAME', one step a line; '#' begins a comment. They are held
-// over real sockets between the front end under test and scripted clients, workers and a roster.
+// TestConversations runs the scripts of testdata. A file has conversations, each under a line '== NAME', with one
+// step a line; '#' begins a comment. The front end under test talks to scripted clients, workers and a roster over
+// real sockets.
 //
-//	set ATTRIBUTE=VALUE ...   of the element clients; functions.ATTRIBUTE, allow.ATTRIBUTE of those ($UID: one's own)
-//	roster up|down            it serves, or is away
-//	worker W [mute|deaf]      it serves; mute: it accepts and says nothing; deaf: it is ready and reads nothing
-//	list W=STATE ...          the roster tells the whole list, and has it acknowledged; list-again: the same list twice
-//	changes W=STATE ...       the roster tells changes
-//	start                     the front end runs; it runs already at the first step of a client
-//	stop | left               the front end is told to stop; it has left
+//	set ATTRIBUTE=VALUE ...   sets attributes of the element clients; functions.ATTRIBUTE, methods.ATTRIBUTE and
+//	                          allow.ATTRIBUTE: of those ($UID: the test's user id); control.keep: the file in which the
+//	                          configuration is saved
+//	roster up|down            starts or stops the roster
+//	worker W [mute|deaf]      starts a worker; mute: it accepts and sends nothing; deaf: it is ready and reads nothing
+//	list W=STATE ...          the roster sends a full list and waits for the acknowledgment; list-again: sends it twice
+//	changes W=STATE ...       the roster sends changes and waits for the acknowledgment
+//	start                     starts the front end and waits until it accepts RPCs
+//	stop | left               tells the front end to stop; waits until it has stopped
 //	C dials [deaf|SOCKET]     a client connects; deaf: it reads nothing until 'C reads'
-//	C >* N TEXT | C <* N      it sends TEXT N times, and goes on meanwhile; it gets N lines
-//	C cut                     it gets the end of the stream, whatever comes before
-//	X > TEXT                  X sends TEXT and a line's end; X >> "GO STRING" sends it as it is
-//	X < TEXT                  the next line that X gets; "*" stands for any JSON value; 'headers TEXT': behind headers
-//	W < METHOD [$ID]          the next request or notification that the worker gets, pings passed over; binds its id
-//	X nothing MS              X gets nothing for so long
-//	X closes|half-closes|ends X closes; closes its sending side; gets the end of the stream
-//	W stops                   the worker closes all and serves no more
-//	config ok XML             a control service serves from the first such step on, or 'control up'; it numbers the
-//	                          configuration (the service's elements, then after '|' the others; $DIR: the folder),
-//	                          which is accepted
-//	config no TEXT XML        it is turned down, and the reason holds TEXT
-//	control up|down           the control service serves, or is away
-//	cut-file|flip-file|full-file NAME   half of the file is lost, a bit of it changed, nothing can be written there
-//	runs VERSION FROM         the front end tells that it runs it: from service, disk or own
-//	wait MS
+//	C >* N TEXT | C <* N      C sends TEXT N times in the background; C receives N lines
+//	C cut                     C receives the end of the stream, whatever comes before
+//	X > TEXT                  X sends TEXT and a newline; X >> "GO STRING" sends the string as it is
+//	X < TEXT                  X receives TEXT as its next line; "*" stands for any JSON value; 'headers TEXT': a value
+//	                          after headers
+//	W < METHOD [$ID]          W receives METHOD as its next message, pings ignored; $ID is bound to its id
+//	X nothing MS              X receives nothing for MS ms, pings ignored
+//	X closes|half-closes|ends X closes; closes its sending side; receives the end of the stream
+//	W stops                   the worker closes its connections and its socket
+//	config ok XML             submits a configuration, which must be accepted; the control service is started if needed.
+//	                          XML: the service's elements, then after '|' the others; $DIR: the test's folder
+//	config no TEXT XML        submits a configuration, which must be refused for a reason that contains TEXT
+//	control up|down           starts or stops the control service
+//	cut-file|flip-file|full-file NAME   cuts the file to half, changes a bit of it, or makes writing it impossible
+//	runs VERSION FROM         waits until the front end runs the version, loaded from FROM: service, disk or own
+//	wait MS                   waits for MS ms
 //
-// $ID in a TEXT is the id that was bound; $BIG a string of a million bytes,
-// $MANY four thousand requests with commas between.
+// In a TEXT, $ID is the id that was bound, $BIG a string of a million bytes, and $MANY four thousand requests
+// separated by commas.
 func TestConversations(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no conversations: %v", err)
+		t.Fatalf("no scripts in testdata: %v", err)
 	}
 	for _, file := range files {
 		text, err := os.ReadFile(file)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, all, _ := strings.Cut("\n"+string(text), "\n== ")
-		for part := range strings.SplitSeq(all, "\n== ") {
-			name, steps, _ := strings.Cut(part, "\n")
+		_, conversations, _ := strings.Cut("\n"+string(text), "\n== ")
+		for script := range strings.SplitSeq(conversations, "\n== ") {
+			name, steps, _ := strings.Cut(script, "\n")
 			t.Run(filepath.Base(file)+"/"+name, func(t *testing.T) {
 				t.Parallel()
-				hold(t, steps)
+				runConversation(t, steps)
 			})
 		}
 	}
@@ -78,12 +81,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const patience = 5 * time.Second
+// stepTimeout is how long a step waits for what it expects.
+const stepTimeout = 5 * time.Second
 
 // peer is one connection of a scripted client or worker.
 type peer struct {
 	nc    net.Conn
-	lines chan string // closed at the stream's end
+	lines chan string // received lines; closed at the end of the stream
 }
 
 func (p *peer) read() {
@@ -116,16 +120,16 @@
 		}
 		return line, nil
 	case <-time.After(wait):
-		return "", errors.New("nothing comes")
+		return "", errors.New("nothing received before the timeout")
 	}
 }
 
-// server is a scripted worker or the roster.
+// server is a scripted worker or roster.
 type server struct {
-	l     net.Listener
-	mu    sync.Mutex
-	conns []*peer
-	came  chan *peer
+	l        net.Listener
+	mu       sync.Mutex
+	conns    []*peer
+	accepted chan *peer
 }
 
 func serveScript(path, hello string, deaf bool) (*server, error) {
@@ -133,7 +137,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &server{l: l, came: make(chan *peer, 100)}
+	s := &server{l: l, accepted: make(chan *peer, 100)}
 	go func() {
 		for {
 			nc, err := l.Accept()
@@ -150,7 +154,7 @@
 			s.mu.Lock()
 			s.conns = append(s.conns, p)
 			s.mu.Unlock()
-			s.came <- p
+			s.accepted <- p
 		}
 	}()
 	return s, nil
@@ -158,10 +162,10 @@
 
 func (s *server) stop() {
 	s.l.Close()
-	s.drop()
+	s.closeConns()
 }
 
-func (s *server) drop() {
+func (s *server) closeConns() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, p := range s.conns {
@@ -170,28 +174,29 @@
 	s.conns = nil
 }
 
-type talk struct {
-	dir      string
-	set      map[string]string
-	peers    map[string]*peer
-	servers  map[string]*server
-	names    map[string]string
-	version  int
-	cancel   context.CancelFunc
-	done     chan error
-	finished bool
-	control  context.CancelFunc
-	ended    chan error
+// conversation is the state of one script.
+type conversation struct {
+	dir         string
+	attrs       map[string]string
+	peers       map[string]*peer
+	servers     map[string]*server
+	bindings    map[string]string
+	version     int
+	cancel      context.CancelFunc
+	done        chan error
+	exited      bool
+	stopControl context.CancelFunc
+	controlDone chan error
 }
 
-func hold(t *testing.T, steps string) {
+func runConversation(t *testing.T, steps string) {
 	dir, err := os.MkdirTemp("", "ml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer os.RemoveAll(dir)
-	k := &talk{dir: dir, set: map[string]string{}, peers: map[string]*peer{}, servers: map[string]*server{},
-		names: map[string]string{"$DIR": dir, "$BIG": `"` + strings.Repeat("x", 1e6) + `"`,
+	k := &conversation{dir: dir, attrs: map[string]string{}, peers: map[string]*peer{}, servers: map[string]*server{},
+		bindings: map[string]string{"$DIR": dir, "$BIG": `"` + strings.Repeat("x", 1e6) + `"`,
 			"$MANY": strings.Repeat(`{"jsonrpc":"2.0","id":1,"method":"none"},`, 4000) + "1"}}
 	defer k.end(t)
 	for i, line := range strings.Split(steps, "\n") {
@@ -204,13 +209,13 @@
 	}
 }
 
-func (k *talk) end(t *testing.T) {
+func (k *conversation) end(t *testing.T) {
 	for _, p := range k.peers {
 		p.nc.Close()
 	}
 	if k.cancel != nil {
 		k.cancel()
-		if err := k.left(); err != nil {
+		if err := k.awaitExit(); err != nil {
 			t.Error(err)
 		}
 	}
@@ -222,8 +227,8 @@
 	}
 }
 
-func (k *talk) controlUp() error {
-	if k.control != nil {
+func (k *conversation) controlUp() error {
+	if k.stopControl != nil {
 		return nil
 	}
 	file := filepath.Join(k.dir, "control.xml")
@@ -237,29 +242,29 @@
 		return err
 	}
 	var ctx context.Context
-	ctx, k.control = context.WithCancel(context.Background())
-	k.ended = make(chan error, 1)
+	ctx, k.stopControl = context.WithCancel(context.Background())
+	k.controlDone = make(chan error, 1)
 	ready := make(chan struct{})
-	go func() { k.ended <- control.Serve(ctx, c, zerolog.Nop(), func() { close(ready) }) }()
+	go func() { k.controlDone <- control.Serve(ctx, c, zerolog.Nop(), func() { close(ready) }) }()
 	select {
 	case <-ready:
 		return nil
-	case err := <-k.ended:
+	case err := <-k.controlDone:
 		return err
 	}
 }
 
-func (k *talk) controlDown() error {
-	if k.control == nil {
+func (k *conversation) controlDown() error {
+	if k.stopControl == nil {
 		return nil
 	}
-	k.control()
-	k.control = nil
-	return <-k.ended
+	k.stopControl()
+	k.stopControl = nil
+	return <-k.controlDone
 }
 
-// config has a configuration numbered and waits for its end.
-func (k *talk) config(line string) error {
+// config submits a configuration and waits until it is accepted or refused.
+func (k *conversation) config(line string) error {
 	if err := k.controlUp(); err != nil {
 		return err
 	}
@@ -271,42 +276,42 @@
 		return err
 	}
 	defer w.Close()
-	ctx, end := context.WithTimeout(context.Background(), 2*patience)
+	ctx, end := context.WithTimeout(context.Background(), 2*stepTimeout)
 	defer end()
-	v, err := w.Submit(ctx, &wire.SubmitRequest{Text: "<configuration><service>" + service + "</service>" + more + "</configuration>", Unchecked: true})
+	version, err := w.Submit(ctx, &wire.SubmitRequest{Text: "<configuration><service>" + service + "</service>" + more + "</configuration>", Unchecked: true})
 	if err != nil {
 		return err
 	}
 	for ; ; time.Sleep(5 * time.Millisecond) {
-		_, st, err := w.Leader(ctx)
+		_, status, err := w.Leader(ctx)
 		if err != nil {
 			return err
 		}
-		for _, s := range st.Versions {
+		for _, v := range status.Versions {
 			want, ok := strings.CutPrefix(strings.TrimSpace(head), "config no ")
 			switch {
-			case s.Version != v:
-			case s.State == "accepted" && !ok:
+			case v.Version != version:
+			case v.State == "accepted" && !ok:
 				return nil
-			case s.State == "withdrawn" && ok && strings.Contains(s.Reason, want):
+			case v.State == "withdrawn" && ok && strings.Contains(v.Reason, want):
 				return nil
-			case s.State != "rolling" && s.State != "waiting":
-				return fmt.Errorf("version %d is %s: %s", v, s.State, s.Reason)
+			case v.State != "rolling" && v.State != "waiting":
+				return fmt.Errorf("version %d is %s: %s", version, v.State, v.Reason)
 			}
 		}
 	}
 }
 
-// spoil cuts a file to its half, changes a byte of it, or makes the place such that nothing can be written there.
-func (k *talk) spoil(how, file string) error {
-	if how == "full-file" {
+// damageFile cuts a file to half, changes a bit of it, or blocks its temporary name so that it cannot be replaced.
+func (k *conversation) damageFile(step, file string) error {
+	if step == "full-file" {
 		return os.Mkdir(file+".new", 0o700)
 	}
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return err
 	}
-	if how == "cut-file" {
+	if step == "cut-file" {
 		raw = raw[:len(raw)/2]
 	} else {
 		raw[len(raw)/2] ^= 4
@@ -314,8 +319,8 @@
 	return os.WriteFile(file, raw, 0o600)
 }
 
-// runs asks the front end for its status.
-func (k *talk) runs(version, from string) error {
+// checkRunning waits until rpc.status reports the version and its source.
+func (k *conversation) checkRunning(version, source string) error {
 	nc, err := net.Dial("unix", k.path("front"))
 	if err != nil {
 		return err
@@ -323,7 +328,7 @@
 	defer nc.Close()
 	in := bufio.NewReader(nc)
 	last := ""
-	for until := time.Now().Add(patience); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(stepTimeout); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		if _, err := io.WriteString(nc, `{"jsonrpc":"2.0","id":1,"method":"rpc.status"}`+"\n"); err != nil {
 			return err
 		}
@@ -331,41 +336,41 @@
 		if err != nil {
 			return err
 		}
-		var a struct {
+		var response struct {
 			Result Status `json:"result"`
 		}
-		if err := json.Unmarshal([]byte(raw), &a); err != nil {
+		if err := json.Unmarshal([]byte(raw), &response); err != nil {
 			return err
 		}
-		if a.Result.Config == nil {
-			return fmt.Errorf("no configuration in %s", raw)
+		if response.Result.Config == nil {
+			return fmt.Errorf("rpc.status reports no configuration: %s", raw)
 		}
-		last = fmt.Sprintf("%d %s", a.Result.Config.Version, strings.Fields(a.Result.Config.Source)[0])
-		if last == version+" "+from {
+		last = fmt.Sprintf("%d %s", response.Result.Config.Version, strings.Fields(response.Result.Config.Source)[0])
+		if last == version+" "+source {
 			return nil
 		}
 	}
-	return fmt.Errorf("it runs %s", last)
+	return fmt.Errorf("the front end runs version %s", last)
 }
 
-func (k *talk) left() error {
-	if k.finished {
+func (k *conversation) awaitExit() error {
+	if k.exited {
 		return nil
 	}
 	select {
 	case err := <-k.done:
-		k.finished = true
+		k.exited = true
 		return err
-	case <-time.After(2 * patience):
-		return errors.New("the front end does not leave")
+	case <-time.After(2 * stepTimeout):
+		return errors.New("the front end does not stop")
 	}
 }
 
-func (k *talk) path(name string) string { return filepath.Join(k.dir, name+".sock") }
+func (k *conversation) path(name string) string { return filepath.Join(k.dir, name+".sock") }
 
-func (k *talk) attributes(level string) string {
+func (k *conversation) attributes(level string) string {
 	out := ""
-	for name, value := range k.set {
+	for name, value := range k.attrs {
 		if before, after, found := strings.Cut(name, "."); found && before == level || !found && level == "" {
 			if !found {
 				after = name
@@ -376,29 +381,29 @@
 	return out
 }
 
-// allow is the list of peers, where the conversation sets one.
-func (k *talk) allow() string {
+// allowElement returns the element allow, if the script sets its attributes.
+func (k *conversation) allowElement() string {
 	if a := k.attributes("allow"); a != "" {
 		return "<allow" + strings.ReplaceAll(a, "$UID", strconv.Itoa(os.Getuid())) + "/>"
 	}
 	return ""
 }
 
-func (k *talk) start() error {
-	if k.set["functions.orders"] == "" {
-		k.set["functions.orders"] = "no"
+func (k *conversation) start() error {
+	if k.attrs["functions.orders"] == "" {
+		k.attrs["functions.orders"] = "no"
 	}
 	at := ""
-	if k.set["control.keep"] != "" {
+	if k.attrs["control.keep"] != "" {
 		at = fmt.Sprintf(`<control sockets=%q keep=%q redial-min-ms="10" redial-max-ms="50" figures-every-ms="50"/>`, k.path("control"),
-			filepath.Join(k.dir, k.set["control.keep"]))
+			filepath.Join(k.dir, k.attrs["control.keep"]))
 	}
 	text := fmt.Sprintf(`<front-end name="front"><clients socket=%q%s>%s</clients><workers redial-max-ms="100"/>
 <roster socket=%q cache=%q/>%s<service>
 <method name="query" effect="idempotent" deadline-ms="2000"%s/>
 <method name="book" effect="tokened" group="all" window-ms="2000" deadline-ms="1000"/>
 <method name="hold" effect="side-effecting" deadline-ms="1000"/>
-<functions%s/></service></front-end>`, k.path("front"), k.attributes(""), k.allow(), k.path("roster"),
+<functions%s/></service></front-end>`, k.path("front"), k.attributes(""), k.allowElement(), k.path("roster"),
 		filepath.Join(k.dir, "list"), at, k.attributes("methods"), k.attributes("functions"))
 	file := filepath.Join(k.dir, "front.xml")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -411,49 +416,49 @@
 	var ctx context.Context
 	ctx, k.cancel = context.WithCancel(context.Background())
 	k.done = make(chan error, 1)
-	k.finished = false
+	k.exited = false
 	ready := make(chan struct{})
 	go func() { k.done <- Serve(ctx, f, zerolog.Nop(), func() { close(ready) }) }()
 	select {
 	case <-ready:
 		return nil
 	case err := <-k.done:
-		k.finished = true
+		k.exited = true
 		return err
 	}
 }
 
-func (k *talk) step(line string) error {
-	f := strings.Fields(line)
+func (k *conversation) step(line string) error {
+	words := strings.Fields(line)
 	rest := func() string {
-		text := strings.TrimSpace(strings.SplitN(line, f[1], 2)[1])
-		for name, id := range k.names {
+		text := strings.TrimSpace(strings.SplitN(line, words[1], 2)[1])
+		for name, id := range k.bindings {
 			text = strings.ReplaceAll(text, name, id)
 		}
 		return text
 	}
-	switch f[0] {
+	switch words[0] {
 	case "set":
-		for _, word := range f[1:] {
+		for _, word := range words[1:] {
 			name, value, _ := strings.Cut(word, "=")
-			k.set[name] = value
+			k.attrs[name] = value
 		}
 		return nil
 	case "worker":
-		hello := fmt.Sprintf(`{"jsonrpc":"2.0","method":"client.ready","params":{"worker":%q,"protocol":1}}`, f[1])
-		deaf := len(f) > 2 && f[2] == "deaf"
-		if len(f) > 2 && !deaf {
+		hello := fmt.Sprintf(`{"jsonrpc":"2.0","method":"client.ready","params":{"worker":%q,"protocol":1}}`, words[1])
+		deaf := len(words) > 2 && words[2] == "deaf"
+		if len(words) > 2 && !deaf {
 			hello = ""
 		}
-		s, err := serveScript(k.path(f[1]), hello, deaf)
-		k.servers[f[1]] = s
+		s, err := serveScript(k.path(words[1]), hello, deaf)
+		k.servers[words[1]] = s
 		return err
 	case "roster":
-		if f[1] == ">" {
+		if words[1] == ">" {
 			_, err := io.WriteString(k.peers["roster"].nc, rest()+"\n")
 			return err
 		}
-		if f[1] == "down" {
+		if words[1] == "down" {
 			k.servers["roster"].stop()
 			return nil
 		}
@@ -461,72 +466,72 @@
 		k.servers["roster"] = s
 		return err
 	case "list", "list-again", "changes":
-		return k.list(f)
+		return k.sendList(words)
 	case "start":
 		return k.start()
 	case "config":
 		return k.config(line)
 	case "runs":
-		return k.runs(f[1], f[2])
+		return k.checkRunning(words[1], words[2])
 	case "control":
-		if f[1] == "up" {
+		if words[1] == "up" {
 			return k.controlUp()
 		}
 		return k.controlDown()
 	case "cut-file", "flip-file", "full-file":
-		return k.spoil(f[0], filepath.Join(k.dir, f[1]))
+		return k.damageFile(words[0], filepath.Join(k.dir, words[1]))
 	case "stop":
 		k.cancel()
 		return nil
 	case "left":
-		return k.left()
+		return k.awaitExit()
 	case "wait":
-		n, err := strconv.Atoi(f[1])
+		n, err := strconv.Atoi(words[1])
 		time.Sleep(time.Duration(n) * time.Millisecond)
 		return err
 	}
-	if f[1] == "dials" {
+	if words[1] == "dials" {
 		socket := "front"
-		if len(f) > 2 && f[2] != "deaf" {
-			socket, f = f[2], f[:2]
+		if len(words) > 2 && words[2] != "deaf" {
+			socket, words = words[2], words[:2]
 		}
 		nc, err := net.Dial("unix", k.path(socket))
 		if err == nil {
-			k.peers[f[0]] = &peer{nc: nc, lines: make(chan string, 1<<16)}
-			if len(f) == 2 {
-				k.peers[f[0]].read()
+			k.peers[words[0]] = &peer{nc: nc, lines: make(chan string, 1<<16)}
+			if len(words) == 2 {
+				k.peers[words[0]].read()
 			}
 		}
 		return err
 	}
-	if s := k.servers[f[0]]; s != nil {
-		switch f[1] {
+	if s := k.servers[words[0]]; s != nil {
+		switch words[1] {
 		case "stops":
 			s.stop()
 			return nil
 		case "closes":
-			s.drop()
-			delete(k.peers, f[0])
+			s.closeConns()
+			delete(k.peers, words[0])
 			return nil
 		}
-		// the newest connection is the one spoken on
-		for k.peers[f[0]] == nil || len(s.came) > 0 {
+		// the script uses the newest connection
+		for k.peers[words[0]] == nil || len(s.accepted) > 0 {
 			select {
-			case p := <-s.came:
-				k.peers[f[0]] = p
-			case <-time.After(patience):
-				return errors.New("no connection comes")
+			case p := <-s.accepted:
+				k.peers[words[0]] = p
+			case <-time.After(stepTimeout):
+				return errors.New("the front end does not connect")
 			}
 		}
 	}
-	p := k.peers[f[0]]
+	p := k.peers[words[0]]
 	if p == nil {
-		return errors.New("nobody of that name")
+		return errors.New("no client or server of that name")
 	}
-	if s := k.servers[f[0]]; s != nil && f[1] == "<" {
-		return k.asked(s, f[0], f[2:])
+	if s := k.servers[words[0]]; s != nil && words[1] == "<" {
+		return k.nextRequest(s, words[0], words[2:])
 	}
-	switch f[1] {
+	switch words[1] {
 	case ">":
 		_, err := io.WriteString(p.nc, rest()+"\n")
 		return err
@@ -537,39 +542,39 @@
 		}
 		return err
 	case "<":
-		got, err := p.next(patience)
+		got, err := p.next(stepTimeout)
 		if err == nil {
-			err = same(got, rest())
+			err = matchJSON(got, rest())
 		}
 		return err
 	case "reads":
 		p.read()
 		return nil
 	case ">*":
-		n, err := strconv.Atoi(f[2])
-		text := strings.TrimSpace(strings.TrimPrefix(rest(), f[2]))
-		go func() { // it may have to wait for its answers to be read
+		n, err := strconv.Atoi(words[2])
+		text := strings.TrimSpace(strings.TrimPrefix(rest(), words[2]))
+		go func() { // the write may block until the answers are read
 			for i := 0; i < n; i++ {
 				_, _ = io.WriteString(p.nc, text+"\n")
 			}
 		}()
 		return err
 	case "<*":
-		n, err := strconv.Atoi(f[2])
+		n, err := strconv.Atoi(words[2])
 		for i := 0; i < n && err == nil; i++ {
-			_, err = p.next(patience)
+			_, err = p.next(stepTimeout)
 		}
 		return err
 	case "cut":
 		for {
-			if _, err := p.next(patience); err == io.EOF {
+			if _, err := p.next(stepTimeout); err == io.EOF {
 				return nil
 			} else if err != nil {
 				return err
 			}
 		}
 	case "nothing":
-		n, err := strconv.Atoi(f[2])
+		n, err := strconv.Atoi(words[2])
 		if err != nil {
 			return err
 		}
@@ -587,7 +592,7 @@
 	case "half-closes":
 		return p.nc.(*net.UnixConn).CloseWrite()
 	case "ends":
-		if got, err := p.next(patience); err != io.EOF {
+		if got, err := p.next(stepTimeout); err != io.EOF {
 			return fmt.Errorf("got %q, %v", got, err)
 		}
 		return nil
@@ -595,79 +600,80 @@
 	return errors.New("unknown step")
 }
 
-// asked takes the next request that is no ping.
-func (k *talk) asked(s *server, name string, words []string) error {
+// nextRequest checks the method of the next request or notification, ignoring pings, and binds its id.
+func (k *conversation) nextRequest(s *server, name string, words []string) error {
 	for {
-		got, err := k.heard(s, name)
+		got, err := k.nextLine(s, name)
 		if err != nil {
 			return err
 		}
-		var m struct {
+		var message struct {
 			Method string `json:"method"`
 			ID     any    `json:"id"`
 		}
-		if err := json.Unmarshal([]byte(got), &m); err != nil {
+		if err := json.Unmarshal([]byte(got), &message); err != nil {
 			return err
 		}
-		if m.Method == "host.ping" && words[0] != m.Method {
+		if message.Method == "host.ping" && words[0] != message.Method {
 			continue
 		}
-		if m.Method != words[0] {
+		if message.Method != words[0] {
 			return fmt.Errorf("got %s", got)
 		}
 		if len(words) > 1 {
-			id, err := json.Marshal(m.ID)
-			k.names[words[1]] = string(id)
+			id, err := json.Marshal(message.ID)
+			k.bindings[words[1]] = string(id)
 			return err
 		}
 		return nil
 	}
 }
 
-// heard is the next line that a scripted server gets, on a new connection where the last one has ended.
-func (k *talk) heard(s *server, name string) (string, error) {
+// nextLine returns the next line that a scripted server receives. When a connection has ended, it waits for the next
+// one.
+func (k *conversation) nextLine(s *server, name string) (string, error) {
 	for {
-		got, err := k.peers[name].next(patience)
+		got, err := k.peers[name].next(stepTimeout)
 		if err != io.EOF {
 			return got, err
 		}
 		select {
-		case k.peers[name] = <-s.came:
-		case <-time.After(patience):
-			return "", errors.New("no further connection comes")
+		case k.peers[name] = <-s.accepted:
+		case <-time.After(stepTimeout):
+			return "", errors.New("the front end does not connect again")
 		}
 	}
 }
 
-// list has the roster tell a list, and waits until the front end says that it was told.
-func (k *talk) list(f []string) error {
+// sendList sends a list from the roster and waits for the front end's acknowledgment.
+func (k *conversation) sendList(words []string) error {
 	k.version++
 	entries := []string{}
-	for _, word := range f[1:] {
+	for _, word := range words[1:] {
 		name, state, _ := strings.Cut(word, "=")
 		entries = append(entries, fmt.Sprintf(`{"name":%q,"socket":%q,"state":%q,"life":1,"age_ms":-1}`, name,
 			k.path(name), state))
 	}
 	value := fmt.Sprintf(`{"jsonrpc":"2.0","method":"roster.list","params":{"version":%d,"whole":%t,"workers":[%s]}}`,
-		k.version, f[0] != "changes", strings.Join(entries, ","))
-	if f[0] == "list-again" {
+		k.version, words[0] != "changes", strings.Join(entries, ","))
+	if words[0] == "list-again" {
 		value += "\n" + value
 	}
 	s := k.servers["roster"]
-	for k.peers["roster"] == nil || len(s.came) > 0 {
+	for k.peers["roster"] == nil || len(s.accepted) > 0 {
 		select {
-		case k.peers["roster"] = <-s.came:
-		case <-time.After(patience):
-			return errors.New("the front end does not ask the roster")
+		case k.peers["roster"] = <-s.accepted:
+		case <-time.After(stepTimeout):
+			return errors.New("the front end does not connect to the roster")
 		}
 	}
 	_, _ = io.WriteString(k.peers["roster"].nc, value+"\n")
 	for {
-		got, err := k.heard(s, "roster")
+		got, err := k.nextLine(s, "roster")
 		if err != nil {
 			return err
 		}
-		if strings.Contains(got, "roster.watch") { // it came anew: tell it again
+		if strings.Contains(got, "roster.watch") { // a new connection: send the list again
 			_, _ = io.WriteString(k.peers["roster"].nc, value+"\n")
 		}
 		if strings.Contains(got, "roster.told") && strings.Contains(got, fmt.Sprintf(`"version":%d}`, k.version)) {
@@ -676,13 +682,13 @@
 	}
 }
 
-// same compares JSON; "*" in want stands for anything.
-func same(got, want string) error {
+// matchJSON compares JSON; "*" in want matches any value.
+func matchJSON(got, want string) error {
 	if value, headers := strings.CutPrefix(got, "headers "); headers {
 		if want, headers = strings.CutPrefix(want, "headers "); !headers {
-			return fmt.Errorf("got headers and %s", value)
+			return fmt.Errorf("got headers before %s, want none", value)
 		}
 		got = value
 	}
-	return jsontest.Same([]byte(got), []byte(want))
+	return jsontest.Match([]byte(got), []byte(want))
 }
--- a/internal/jsonrpc/jsontest/jsontest.go
+++ b/internal/jsonrpc/jsontest/jsontest.go
@@ -1,4 +1,4 @@
-// Package jsontest compares JSON in tests.
+// Package jsontest compares JSON values in tests.
 package jsontest
 
 import (
@@ -8,14 +8,14 @@
 	"github.com/go-json-experiment/json"
 )
 
-// Same tells how got differs from want; "*" in want stands for anything.
-func Same(got, want []byte) error {
+// Match returns an error if got is not the JSON that want describes. The string "*" in want matches any value.
+func Match(got, want []byte) error {
 	var g, w any
 	if err := json.Unmarshal(got, &g); err != nil {
-		return fmt.Errorf("got %q: %w", got, err)
+		return fmt.Errorf("invalid JSON in got, %q: %w", got, err)
 	}
 	if err := json.Unmarshal(want, &w); err != nil {
-		return fmt.Errorf("want %q: %w", want, err)
+		return fmt.Errorf("invalid JSON in want, %q: %w", want, err)
 	}
 	if !matches(g, w) {
 		return fmt.Errorf("got %s", got)
@@ -28,8 +28,8 @@
 	case string:
 		return w == "*" || got == want
 	case map[string]any:
-		g, is := got.(map[string]any)
-		if !is || len(g) != len(w) {
+		g, ok := got.(map[string]any)
+		if !ok || len(g) != len(w) {
 			return false
 		}
 		for name := range w {
@@ -39,8 +39,8 @@
 		}
 		return true
 	case []any:
-		g, is := got.([]any)
-		if !is || len(g) != len(w) {
+		g, ok := got.([]any)
+		if !ok || len(g) != len(w) {
 			return false
 		}
 		for i := range w {
