--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,9 +1,9 @@
-// Package handover passes listening sockets from a process to its successor, so that no client is refused meanwhile,
-// and takes one that a service manager opened before.
+// Package handover passes listening sockets from a process to its successor, so that no client is refused during a
+// restart, and receives a socket that a service manager has opened.
 //
-// The old process serves a second socket, which its own user alone may open. The successor connects there, gets the
-// listener's descriptor (SCM_RIGHTS), and once it serves, says so with one byte; the old one then stops accepting and
-// says so with another. A successor that goes before that byte leaves the old one as it was.
+// The old process serves a second socket that only its own user may open. The successor connects to it, receives the
+// listeners' descriptors (SCM_RIGHTS), and sends one byte when it serves. The old process then stops accepting and
+// replies with another byte. If the successor exits before it sends its byte, the old process continues as before.
 package handover
 
 import (
@@ -18,35 +18,35 @@
 )
 
 const (
-	ready = 'r'
-	taken = 't'
+	msgReady = 'r' // from the successor: it serves
+	msgTaken = 't' // from the old process: it accepts no more
 )
 
-// patience bounds each step of a successor that is there.
-const patience = 10 * time.Second
+// stepTimeout bounds each step of a hand-over with a connected successor.
+const stepTimeout = 10 * time.Second
 
-// Listener is one whose descriptor can be passed: a Unix or TCP listener.
+// Listener is a listener whose descriptor can be passed to another process: a Unix or TCP listener.
 type Listener interface {
 	net.Listener
 	syscall.Conn
 }
 
-// Offer gives the listeners, in their order, to a successor that asks at l, until one has taken it or the context ends. Stop is called
-// in between: it ends this process's accepting, after which the successor is told. It reports whether one has taken
-// it. Offer closes l.
-func Offer(ctx context.Context, l net.Listener, listeners []Listener, stop func()) bool {
-	end := context.AfterFunc(ctx, func() { l.Close() })
-	defer end()
-	defer l.Close()
+// Offer passes the listeners, in their order, to a successor that connects to control. It returns true when a successor
+// has taken them, false when the context ends. stop must end this process's accepting; it is called when the successor
+// serves and before that one is notified. Offer closes control.
+func Offer(ctx context.Context, control net.Listener, listeners []Listener, stop func()) bool {
+	stopClose := context.AfterFunc(ctx, func() { control.Close() })
+	defer stopClose()
+	defer control.Close()
 	for {
-		nc, err := l.Accept()
+		nc, err := control.Accept()
 		if err != nil {
 			return false
 		}
-		if pass(ctx, nc.(*net.UnixConn), listeners) == nil {
-			l.Close() // the path is the successor's now
+		if sendListeners(ctx, nc.(*net.UnixConn), listeners) == nil {
+			control.Close() // the successor now owns the path
 			stop()
-			_, _ = nc.Write([]byte{taken})
+			_, _ = nc.Write([]byte{msgTaken})
 			nc.Close()
 			return true
 		}
@@ -54,11 +54,11 @@
 	}
 }
 
-// pass sends the descriptors and waits for the successor's word.
-func pass(ctx context.Context, nc *net.UnixConn, listeners []Listener) error {
-	end := context.AfterFunc(ctx, func() { nc.Close() })
-	defer end()
-	var fds []int // theirs, for as long as they are open
+// sendListeners sends the descriptors and waits until the successor reports that it serves.
+func sendListeners(ctx context.Context, nc *net.UnixConn, listeners []Listener) error {
+	stopClose := context.AfterFunc(ctx, func() { nc.Close() })
+	defer stopClose()
+	var fds []int // valid as long as the listeners are open
 	for _, l := range listeners {
 		raw, err := l.SyscallConn()
 		if err != nil {
@@ -68,89 +68,90 @@
 			return err
 		}
 	}
-	if err := nc.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err := nc.SetDeadline(time.Now().Add(stepTimeout)); err != nil {
 		return err
 	}
 	if _, _, err := nc.WriteMsgUnix([]byte{0}, syscall.UnixRights(fds...), nil); err != nil {
 		return err
 	}
-	var word [1]byte
-	if _, err := nc.Read(word[:]); err != nil {
+	var reply [1]byte
+	if _, err := nc.Read(reply[:]); err != nil {
 		return err
 	}
-	if word[0] != ready {
-		return fmt.Errorf("successor says %q", word[0])
+	if reply[0] != msgReady {
+		return fmt.Errorf("hand-over: unexpected byte %q from the successor", reply[0])
 	}
 	return nil
 }
 
-// most is how many listeners a process may pass.
-const most = 16
+// maxListeners is the maximum number of listeners that a process may pass.
+const maxListeners = 16
 
-// Request asks the process at path for its listeners. Confirm tells it that this one serves, and returns once the old
-// one accepts no more. An error of kind os.ErrNotExist or ECONNREFUSED: nobody is there to ask.
-func Request(path string) (ls []Listener, confirm func() error, err error) {
-	dialled, err := net.DialTimeout("unix", path, patience)
+// Request receives the listeners of the process that offers them at path. confirm notifies that process that this one
+// serves, and returns when the old process accepts no more. An error that is os.ErrNotExist or ECONNREFUSED means
+// that no process offers listeners.
+func Request(path string) (listeners []Listener, confirm func() error, err error) {
+	conn, err := net.DialTimeout("unix", path, stepTimeout)
 	if err != nil {
 		return nil, nil, err
 	}
-	nc := dialled.(*net.UnixConn)
+	nc := conn.(*net.UnixConn)
 	defer func() {
 		if err != nil {
 			nc.Close()
-			for _, l := range ls {
+			for _, l := range listeners {
 				l.Close()
 			}
 		}
 	}()
-	if err = nc.SetDeadline(time.Now().Add(patience)); err != nil {
+	if err = nc.SetDeadline(time.Now().Add(stepTimeout)); err != nil {
 		return nil, nil, err
 	}
-	body, rights := make([]byte, 1), make([]byte, syscall.CmsgSpace(4*most))
-	_, n, _, _, err := nc.ReadMsgUnix(body, rights)
+	payload, oob := make([]byte, 1), make([]byte, syscall.CmsgSpace(4*maxListeners))
+	_, n, _, _, err := nc.ReadMsgUnix(payload, oob)
 	if err != nil {
 		return nil, nil, err
 	}
-	messages, err := syscall.ParseSocketControlMessage(rights[:n])
+	messages, err := syscall.ParseSocketControlMessage(oob[:n])
 	if err != nil {
 		return nil, nil, err
 	}
 	if len(messages) != 1 {
-		return nil, nil, errors.New("hand-over: no descriptor came")
+		return nil, nil, errors.New("hand-over: no descriptor received")
 	}
 	fds, err := syscall.ParseUnixRights(&messages[0])
 	if err != nil {
 		return nil, nil, err
 	}
 	if len(fds) == 0 {
-		err = errors.New("hand-over: no descriptor came")
+		err = errors.New("hand-over: no descriptor received")
 		return nil, nil, err
 	}
 	for _, fd := range fds {
 		var l Listener
-		if l, err = fromFD(fd); err != nil {
+		if l, err = listenerFromFD(fd); err != nil {
 			return nil, nil, err
 		}
-		ls = append(ls, l)
+		listeners = append(listeners, l)
 	}
 	confirm = func() error {
 		defer nc.Close()
-		if err := nc.SetDeadline(time.Now().Add(patience)); err != nil {
+		if err := nc.SetDeadline(time.Now().Add(stepTimeout)); err != nil {
 			return err
 		}
-		if _, err := nc.Write([]byte{ready}); err != nil {
+		if _, err := nc.Write([]byte{msgReady}); err != nil {
 			return err
 		}
-		var word [1]byte
-		if _, err := nc.Read(word[:]); err != nil {
+		var reply [1]byte
+		if _, err := nc.Read(reply[:]); err != nil {
 			return err
 		}
 		return nil
 	}
-	return ls, confirm, nil
+	return listeners, confirm, nil
 }
 
-func fromFD(fd int) (Listener, error) {
+func listenerFromFD(fd int) (Listener, error) {
 	syscall.CloseOnExec(fd)
 	file := os.NewFile(uintptr(fd), "listener")
 	defer file.Close()
@@ -158,34 +159,34 @@
 	if err != nil {
 		return nil, err
 	}
-	passed, is := l.(Listener)
-	if !is {
+	listener, ok := l.(Listener)
+	if !ok {
 		l.Close()
-		return nil, fmt.Errorf("the descriptor passed is a %s listener, which can't be passed on", l.Addr().Network())
+		return nil, fmt.Errorf("received a %s listener, which cannot be handed over again", l.Addr().Network())
 	}
-	return passed, nil
+	return listener, nil
 }
 
-// firstInherited is the first descriptor that a service manager passes (sd_listen_fds(3)).
+// firstInherited is the number of the first descriptor that a service manager passes; see sd_listen_fds(3).
 const firstInherited = 3
 
-// Inherited is the listener that a service manager opened for this process, by the environment's LISTEN_PID and
-// LISTEN_FDS; nil: there is none. More than one is an error.
+// Inherited returns the listener that a service manager has opened for this process, as the environment variables
+// LISTEN_PID and LISTEN_FDS state; nil: there is none. More than one is an error.
 func Inherited() (*net.UnixListener, error) {
 	if os.Getenv("LISTEN_PID") != strconv.Itoa(os.Getpid()) {
 		return nil, nil
 	}
 	if n := os.Getenv("LISTEN_FDS"); n != "1" {
-		return nil, fmt.Errorf("LISTEN_FDS is %q: one socket is wanted, for the clients", n)
+		return nil, fmt.Errorf("LISTEN_FDS is %q, want 1: one socket, for the clients", n)
 	}
-	l, err := fromFD(firstInherited)
+	l, err := listenerFromFD(firstInherited)
 	if err != nil {
 		return nil, err
 	}
-	u, is := l.(*net.UnixListener)
-	if !is {
+	unixListener, ok := l.(*net.UnixListener)
+	if !ok {
 		l.Close()
-		return nil, fmt.Errorf("the socket passed is a %s one: a Unix socket is wanted, for the clients", l.Addr().Network())
+		return nil, fmt.Errorf("received a %s socket from the service manager, want a Unix socket for the clients", l.Addr().Network())
 	}
-	return u, nil
+	return unixListener, nil
 }
