--- a/internal/jsonrpc/codec.go
+++ b/internal/jsonrpc/codec.go
@@ -20,35 +20,35 @@
 	InvalidParams  = -32602
 )
 
-// ID is a message's id as it came: a string, a number or null. An empty one is none: a notification.
+// ID is a message's id as received: a JSON string, number or null. It is empty for a notification.
 type ID []byte
 
-// NullID is the id of answers to what has no readable id.
+// NullID is the id of responses to messages without a readable id.
 var NullID = ID("null")
 
-// Handler is told what a value holds. The bytes that it gets are good until it returns.
+// Handler receives the messages that a Decoder decodes. The byte slices passed to a method are valid until it returns.
 type Handler interface {
-	// BeginBatch precedes the messages of an array, BatchEnds follows them.
+	// BeginBatch is called before the messages of a batch, EndBatch after them.
 	BeginBatch()
 	EndBatch()
-	// HandleRequest is a request, or a notification where id is empty. Params are empty where there are none.
+	// HandleRequest is called for a request, or for a notification if id is empty. Params are empty if there are none.
 	HandleRequest(id ID, method string, params []byte)
-	// HandleResponse is a response: a result, or an error with its code.
+	// HandleResponse is called for a response: a result if code is 0, otherwise an error.
 	HandleResponse(id ID, result []byte, code int, message string, data []byte)
-	// HandleInvalid is what is no message: the code, and what is wrong, for an answer to id.
+	// HandleInvalid is called for an invalid message, with the id, code and message of the error response to send.
 	HandleInvalid(id ID, code int, message string)
 }
 
-// IgnoreBatches is for peers to embed to whom a batch is no more than its messages.
+// IgnoreBatches can be embedded by handlers that treat the messages of a batch like single ones.
 type IgnoreBatches struct{}
 
-// BeginBatch implements Peer.
+// BeginBatch implements Handler.
 func (IgnoreBatches) BeginBatch() {}
 
-// EndBatch implements Peer.
+// EndBatch implements Handler.
 func (IgnoreBatches) EndBatch() {}
 
-// Decoder reads messages out of values. It keeps buffers and serves one goroutine.
+// Decoder decodes messages. It reuses its buffers and must not be used by several goroutines at once.
 type Decoder struct {
 	in  bytes.Buffer
 	dec jsontext.Decoder
@@ -56,146 +56,146 @@
 
 var options = []jsontext.Options{jsontext.AllowDuplicateNames(true)}
 
-// Decode tells p what one value holds.
-func (d *Decoder) Decode(value []byte, p Handler) {
-	if len(value) > 0 && value[0] == '{' { // the ordinary case: it is checked as it is read
-		d.one(value, p)
+// Decode decodes one JSON value and passes its messages to h.
+func (d *Decoder) Decode(value []byte, h Handler) {
+	if len(value) > 0 && value[0] == '{' { // the usual case; the object is validated while it is decoded
+		d.decodeMessage(value, h)
 		return
 	}
-	v, err := d.whole(value)
+	v, err := d.readSingle(value)
 	if err != nil {
-		p.HandleInvalid(NullID, ParseError, "not JSON: "+reason(err))
+		h.HandleInvalid(NullID, ParseError, "not JSON: "+describeError(err))
 		return
 	}
 	if v.Kind() != '[' {
-		d.one(v, p)
+		d.decodeMessage(v, h)
 		return
 	}
-	parts, err := elements(v)
+	elems, err := elements(v)
 	if err != nil {
-		p.HandleInvalid(NullID, ParseError, "not JSON: "+reason(err))
+		h.HandleInvalid(NullID, ParseError, "not JSON: "+describeError(err))
 		return
 	}
-	if len(parts) == 0 {
-		p.HandleInvalid(NullID, InvalidRequest, "an empty batch")
+	if len(elems) == 0 {
+		h.HandleInvalid(NullID, InvalidRequest, "an empty batch")
 		return
 	}
-	p.BeginBatch()
-	for _, part := range parts {
-		d.one(part, p)
+	h.BeginBatch()
+	for _, elem := range elems {
+		d.decodeMessage(elem, h)
 	}
-	p.EndBatch()
+	h.EndBatch()
 }
 
-// whole reads the one value that there must be.
-func (d *Decoder) whole(value []byte) (jsontext.Value, error) {
+// readSingle reads value, which must be a single JSON value.
+func (d *Decoder) readSingle(value []byte) (jsontext.Value, error) {
 	d.in = *bytes.NewBuffer(value)
 	d.dec.Reset(&d.in, options...)
 	v, err := d.dec.ReadValue()
 	if err != nil {
 		return nil, err
 	}
-	return v, nothingAfter(value, d.dec.InputOffset())
+	return v, checkNoTrailingData(value, d.dec.InputOffset())
 }
 
-func nothingAfter(value []byte, at int64) error {
-	if rest := bytes.TrimLeft(value[at:], " \t\r\n"); len(rest) > 0 {
-		return fmt.Errorf("more after the value, at byte %d", at)
+func checkNoTrailingData(value []byte, offset int64) error {
+	if rest := bytes.TrimLeft(value[offset:], " \t\r\n"); len(rest) > 0 {
+		return fmt.Errorf("unexpected data after the value, at byte %d", offset)
 	}
 	return nil
 }
 
-func reason(err error) string {
+func describeError(err error) string {
 	if errors.Is(err, io.ErrUnexpectedEOF) || err == io.EOF {
-		return "it ends too soon"
+		return "unexpected end of input"
 	}
 	return err.Error()
 }
 
-// elements cuts a valid array.
+// elements returns the elements of a valid JSON array.
 func elements(v []byte) ([]jsontext.Value, error) {
 	dec := jsontext.NewDecoder(bytes.NewBuffer(v), options...)
 	if _, err := dec.ReadToken(); err != nil {
 		return nil, err
 	}
-	var parts []jsontext.Value
+	var elems []jsontext.Value
 	for dec.PeekKind() != ']' {
-		part, err := dec.ReadValue()
+		elem, err := dec.ReadValue()
 		if err != nil {
 			return nil, err
 		}
-		parts = append(parts, bytes.Clone(part))
+		elems = append(elems, bytes.Clone(elem))
 	}
-	return parts, nil
+	return elems, nil
 }
 
-// one tells p what one message holds.
-func (d *Decoder) one(v jsontext.Value, p Handler) {
-	if v.Kind() != '{' {
-		p.HandleInvalid(NullID, InvalidRequest, "a message is an object, not "+kindWord(v.Kind()))
+// decodeMessage decodes one message and passes it to h.
+func (d *Decoder) decodeMessage(object jsontext.Value, h Handler) {
+	if object.Kind() != '{' {
+		h.HandleInvalid(NullID, InvalidRequest, "a message is an object, not "+kindName(object.Kind()))
 		return
 	}
-	var version, method, id, params, result, failure jsontext.Value
-	twice := ""
-	end, err := d.members(v, func(name []byte, value jsontext.Value) error {
-		var to *jsontext.Value
+	var version, method, id, params, result, errorObject jsontext.Value
+	duplicate := ""
+	endOffset, err := d.forEachMember(object, func(name []byte, value jsontext.Value) error {
+		var target *jsontext.Value
 		switch string(name) {
 		case "jsonrpc":
-			to = &version
+			target = &version
 		case "method":
-			to = &method
+			target = &method
 		case "id":
-			to = &id
+			target = &id
 		case "params":
-			to = &params
+			target = &params
 		case "result":
-			to = &result
+			target = &result
 		case "error":
-			to = &failure
+			target = &errorObject
 		default:
 			return nil
 		}
-		if *to != nil {
-			twice = string(name)
+		if *target != nil {
+			duplicate = string(name)
 		}
-		*to = value
+		*target = value
 		return nil
 	})
 	if err == nil {
-		err = nothingAfter(v, end)
+		err = checkNoTrailingData(object, endOffset)
 	}
 	answerTo := ID(id)
 	if k := id.Kind(); id == nil || k != '"' && k != '0' && k != 'n' {
 		answerTo = NullID
 	}
-	bad := func(message string) { p.HandleInvalid(answerTo, InvalidRequest, message) }
+	invalid := func(message string) { h.HandleInvalid(answerTo, InvalidRequest, message) }
 	switch {
 	case err != nil:
-		p.HandleInvalid(NullID, ParseError, "not JSON: "+reason(err))
-	case twice != "":
-		bad(fmt.Sprintf("member %q stands twice", twice))
+		h.HandleInvalid(NullID, ParseError, "not JSON: "+describeError(err))
+	case duplicate != "":
+		invalid(fmt.Sprintf("duplicate member %q", duplicate))
 	case version == nil:
-		bad(`member "jsonrpc" is missing`)
+		invalid(`member "jsonrpc" is missing`)
 	case string(version) != `"2.0"`:
-		bad(fmt.Sprintf(`member "jsonrpc" must be "2.0", not %.40s`, version))
+		invalid(fmt.Sprintf(`member "jsonrpc" must be "2.0", not %.40s`, version))
 	case id != nil && string(answerTo) != string(id):
-		bad(`member "id" must be a string, a number or null, not ` + kindWord(id.Kind()))
+		invalid(`member "id" must be a string, a number or null, not ` + kindName(id.Kind()))
 	case method != nil:
 		name, isText := ParseString(method)
 		if !isText {
-			bad(`member "method" must be a string, not ` + kindWord(method.Kind()))
+			invalid(`member "method" must be a string, not ` + kindName(method.Kind()))
 		} else if k := params.Kind(); params != nil && k != '{' && k != '[' {
-			bad(`member "params" must be an object or an array, not ` + kindWord(k))
+			invalid(`member "params" must be an object or an array, not ` + kindName(k))
 		} else {
-			p.HandleRequest(ID(id), name, params)
+			h.HandleRequest(ID(id), name, params)
 		}
-	case (result == nil) == (failure == nil):
-		bad(`member "method" is missing`)
-	case failure == nil:
-		p.HandleResponse(answerTo, result, 0, "", nil)
+	case (result == nil) == (errorObject == nil):
+		invalid(`member "method" is missing`)
+	case errorObject == nil:
+		h.HandleResponse(answerTo, result, 0, "", nil)
 	default:
 		var code, message, data jsontext.Value
-		_ = ForEachMember(failure, func(name []byte, value jsontext.Value) error {
+		_ = ForEachMember(errorObject, func(name []byte, value jsontext.Value) error {
 			switch string(name) {
 			case "code":
 				code = value
@@ -209,19 +209,19 @@
 		number, isNumber := ParseNumber(code)
 		text, _ := ParseString(message)
 		if !isNumber || number == 0 {
-			bad(`member "error" must be an object with a code other than 0`)
+			invalid(`member "error" must be an object with a code other than 0`)
 			return
 		}
-		p.HandleResponse(answerTo, nil, int(number), text, data)
+		h.HandleResponse(answerTo, nil, int(number), text, data)
 	}
 }
 
-func kindWord(k jsontext.Kind) string {
+func kindName(k jsontext.Kind) string {
 	switch k {
 	case 'n':
 		return "null"
 	case 't', 'f':
-		return "a truth value"
+		return "a boolean"
 	case '"':
 		return "a string"
 	case '0':
@@ -234,18 +234,18 @@
 	return "nothing"
 }
 
-// ForEachMember calls f for each member of a valid object, in order; f's first error ends it.
+// ForEachMember calls f for each member of a valid JSON object, in order. It stops at f's first error and returns it.
 func ForEachMember(object []byte, f func(name []byte, value jsontext.Value) error) error {
 	d := decoders.Get().(*Decoder)
 	defer decoders.Put(d)
-	_, err := d.members(object, f)
+	_, err := d.forEachMember(object, f)
 	return err
 }
 
 var decoders = sync.Pool{New: func() any { return new(Decoder) }}
 
-// members also tells where the object ends, and finds out what is not JSON up to there.
-func (d *Decoder) members(object []byte, f func(name []byte, value jsontext.Value) error) (end int64, err error) {
+// forEachMember is ForEachMember for an object that may be invalid JSON. It returns the offset of the object's end.
+func (d *Decoder) forEachMember(object []byte, f func(name []byte, value jsontext.Value) error) (end int64, err error) {
 	d.in = *bytes.NewBuffer(object)
 	dec := &d.dec
 	dec.Reset(&d.in, options...)
@@ -259,18 +259,18 @@
 		if err != nil {
 			return 0, err
 		}
-		var plain []byte
+		var unquoted []byte
 		if bytes.IndexByte(name, '\\') < 0 {
-			plain = object[dec.InputOffset()-int64(len(name))+1 : dec.InputOffset()-1]
-		} else if plain, err = jsontext.AppendUnquote(nil, name); err != nil {
+			unquoted = object[dec.InputOffset()-int64(len(name))+1 : dec.InputOffset()-1]
+		} else if unquoted, err = jsontext.AppendUnquote(nil, name); err != nil {
 			return 0, err
 		}
 		value, err := dec.ReadValue()
 		if err != nil {
 			return 0, err
 		}
-		at := dec.InputOffset()
-		if err := f(plain, object[at-int64(len(value)):at]); err != nil {
+		valueEnd := dec.InputOffset()
+		if err := f(unquoted, object[valueEnd-int64(len(value)):valueEnd]); err != nil {
 			return 0, err
 		}
 	}
@@ -278,7 +278,7 @@
 	return dec.InputOffset(), err
 }
 
-// ParseString reads a JSON string.
+// ParseString parses a JSON string. It returns false if v is not one.
 func ParseString(v jsontext.Value) (string, bool) {
 	if len(v) < 2 || v[0] != '"' {
 		return "", false
@@ -290,7 +290,7 @@
 	return string(b), err == nil
 }
 
-// ParseNumber reads a finite JSON number.
+// ParseNumber parses a JSON number. It returns false if v is not one or is out of range.
 func ParseNumber(v jsontext.Value) (float64, bool) {
 	if len(v) == 0 || v.Kind() != '0' {
 		return 0, false
@@ -299,7 +299,7 @@
 	return n, err == nil && !math.IsInf(n, 0)
 }
 
-// ParseNumbers reads an array of finite numbers.
+// ParseNumbers parses an array of numbers. It returns false if v is not one or a number is out of range.
 func ParseNumbers(v jsontext.Value) ([]float64, bool) {
 	if len(v) == 0 || v.Kind() != '[' {
 		return nil, false
@@ -319,14 +319,14 @@
 	return out, true
 }
 
-// AppendString appends a JSON string; what is not UTF-8 in it is replaced.
+// AppendString appends s as a JSON string. Invalid UTF-8 in it is replaced.
 func AppendString(out []byte, s string) []byte {
-	// with invalid UTF-8 the replaced text is returned beside the error
+	// for invalid UTF-8, AppendQuote returns the replaced text together with an error
 	q, _ := jsontext.AppendQuote(out, s)
 	return q
 }
 
-// AppendRequest appends a request, or a notification where id is empty. Params are JSON, or empty.
+// AppendRequest appends a request, or a notification if id is empty. Params are JSON, or empty.
 func AppendRequest(out []byte, id ID, method string, params []byte) []byte {
 	out = append(out, `{"jsonrpc":"2.0",`...)
 	if len(id) > 0 {
@@ -339,14 +339,14 @@
 	return append(out, '}')
 }
 
-// AppendResult appends a response with a result, which is JSON.
+// AppendResult appends a response with a result. The result is JSON.
 func AppendResult(out []byte, id ID, result []byte) []byte {
 	out = append(append(out, `{"jsonrpc":"2.0","id":`...), id...)
 	out = append(append(out, `,"result":`...), result...)
 	return append(out, '}')
 }
 
-// AppendError appends a response with an error; data is JSON, or empty.
+// AppendError appends a response with an error. Data is JSON, or empty.
 func AppendError(out []byte, id ID, code int, message string, data []byte) []byte {
 	out = append(append(out, `{"jsonrpc":"2.0","id":`...), id...)
 	out = strconv.AppendInt(append(out, `,"error":{"code":`...), int64(code), 10)
@@ -357,19 +357,19 @@
 	return append(out, "}}"...)
 }
 
-// NumberID is a number as an id.
+// NumberID returns n as an id.
 func NumberID(n uint64) ID { return strconv.AppendUint(nil, n, 10) }
 
-// Uint reads an id that NumberID made.
+// Uint returns the number of an id made by NumberID. It returns false for another id.
 func (id ID) Uint() (uint64, bool) {
 	n, err := strconv.ParseUint(string(id), 10, 64)
 	return n, err == nil
 }
 
-// Valid tells whether text is one JSON value.
+// Valid reports whether text is a single valid JSON value.
 func Valid(text []byte) bool { return jsontext.Value(text).IsValid(options...) }
 
-// Member is an object's member as JSON; empty: there is no such member, or no object.
+// Member returns a member of a JSON object, or nil if there is no such member or object is not an object.
 func Member(object []byte, name string) (value []byte) {
 	if len(object) == 0 || object[0] != '{' {
 		return nil
--- a/internal/jsonrpc/conn.go
+++ b/internal/jsonrpc/conn.go
@@ -9,49 +9,49 @@
 	"sync"
 )
 
-// Conn is one end of a stream of JSON-RPC messages, a line each: what is written is queued, what is read goes to a
-// peer.
+// Conn is one end of a stream of JSON-RPC messages, one a line. Messages to send are queued; messages received are
+// passed to a Handler.
 type Conn struct {
 	nc        net.Conn
 	limit     int
-	NextCodec func() func(in io.Reader) error // gives the reader of one message in another codec, once that is agreed on; nil: none is
+	NextCodec func() func(in io.Reader) error // returns a reader of messages in another codec; nil: JSON lines
 
-	mu    sync.Mutex
-	more  *sync.Cond
-	out   []byte
-	ended bool
+	mu      sync.Mutex
+	changed *sync.Cond
+	unsent  []byte
+	ended   bool
 }
 
-// NewConn takes a connection; values of up to limit bytes are read.
+// NewConn returns a Conn on nc that reads values of up to limit bytes.
 func NewConn(nc net.Conn, limit int) *Conn {
 	c := &Conn{nc: nc, limit: limit}
-	c.more = sync.NewCond(&c.mu)
+	c.changed = sync.NewCond(&c.mu)
 	return c
 }
 
-// Write queues a value and does not wait.
+// Write queues a value to be sent. It does not block.
 func (c *Conn) Write(value []byte) {
 	c.mu.Lock()
 	if !c.ended {
-		c.out = AppendFrame(c.out, value, false)
-		c.more.Signal()
+		c.unsent = AppendFrame(c.unsent, value, false)
+		c.changed.Signal()
 	}
 	c.mu.Unlock()
 }
 
-// WriteRaw queues bytes as they are: half a value, say.
+// WriteRaw queues bytes without framing, for example a part of a value.
 func (c *Conn) WriteRaw(b []byte) {
 	c.mu.Lock()
-	c.out = append(c.out, b...)
-	c.more.Signal()
+	c.unsent = append(c.unsent, b...)
+	c.changed.Signal()
 	c.mu.Unlock()
 }
 
-// Close ends the connection; what is queued may be lost.
+// Close closes the connection. Queued messages may be lost.
 func (c *Conn) Close() { c.nc.Close() }
 
-// Serve reads messages for p until the stream or the context ends, and closes the connection.
-func (c *Conn) Serve(ctx context.Context, p Handler) error {
+// Serve reads messages and passes them to h until the stream or the context ends. It then closes the connection.
+func (c *Conn) Serve(ctx context.Context, h Handler) error {
 	stop := context.AfterFunc(ctx, func() { c.nc.Close() })
 	defer stop()
 	written := make(chan struct{})
@@ -61,7 +61,7 @@
 	var err error
 	for {
 		if c.NextCodec != nil {
-			if next := c.NextCodec(); next != nil { // the other side has changed the codec
+			if next := c.NextCodec(); next != nil { // the other side uses another codec from here on
 				if err = next(r.Remaining()); err != nil {
 					break
 				}
@@ -72,12 +72,12 @@
 		if value, err = r.Next(); err != nil {
 			break
 		}
-		dec.Decode(value, p)
+		dec.Decode(value, h)
 	}
 	c.nc.Close()
 	c.mu.Lock()
 	c.ended = true
-	c.more.Signal()
+	c.changed.Signal()
 	c.mu.Unlock()
 	<-written
 	return err
@@ -87,15 +87,15 @@
 	var spare []byte
 	for {
 		c.mu.Lock()
-		for len(c.out) == 0 && !c.ended {
-			c.more.Wait()
+		for len(c.unsent) == 0 && !c.ended {
+			c.changed.Wait()
 		}
 		if c.ended {
 			c.mu.Unlock()
 			return
 		}
-		out := c.out
-		c.out = spare[:0]
+		out := c.unsent
+		c.unsent = spare[:0]
 		c.mu.Unlock()
 		if _, err := c.nc.Write(out); err != nil {
 			c.nc.Close()
@@ -105,10 +105,10 @@
 	}
 }
 
-// ErrConnectionLost is told of what was asked on a connection that has ended.
+// ErrConnectionLost is the error of a call whose connection ended before the response.
 var ErrConnectionLost = errors.New("connection lost")
 
-// Response is what came of a question; Err: the connection ended first. Result and Data are the receiver's.
+// Response is the outcome of a call. Err is set if no response arrived. The receiver may keep Result and Data.
 type Response struct {
 	Result  []byte
 	Code    int
@@ -117,48 +117,49 @@
 	Err     error
 }
 
-// Caller asks over a Conn and passes answers on. Its Peer methods serve Conn.Serve.
+// Caller sends requests over a Conn and passes the responses to callbacks. It implements Handler for Conn.Serve.
 type Caller struct {
 	IgnoreBatches
 	*Conn
 	mu             sync.Mutex
-	last           uint64
-	wait           map[string]func(Response)
+	lastID         uint64
+	pending        map[string]func(Response)
 	ended          bool
-	OnNotification func(method string, params []byte) // notifications that come; nil: none are expected
-	Streaming      bool                               // further answers to one question are passed on, too
+	OnNotification func(method string, params []byte) // called for requests and notifications; nil: ignored
+	Streaming      bool                               // every response to a request is passed on, not only the first
 }
 
-// NewCaller takes a connection; Run serves it.
+// NewCaller returns a Caller on nc. Run must be called to receive responses.
 func NewCaller(nc net.Conn, limit int) *Caller {
-	return &Caller{Conn: NewConn(nc, limit), wait: map[string]func(Response){}}
+	return &Caller{Conn: NewConn(nc, limit), pending: map[string]func(Response){}}
 }
 
-// Run reads answers until the stream or the context ends; what is still asked then ends with ErrLost.
+// Run reads responses until the stream or the context ends. Calls that are pending then end with ErrConnectionLost.
 func (c *Caller) Run(ctx context.Context) error {
 	err := c.Serve(ctx, c)
 	c.mu.Lock()
 	c.ended = true
-	wait := c.wait
-	c.wait = nil
+	pending := c.pending
+	c.pending = nil
 	c.mu.Unlock()
-	for _, f := range wait {
+	for _, f := range pending {
 		f(Response{Err: ErrConnectionLost})
 	}
 	return err
 }
 
-// CallAsync sends a request; f is called once, from the reader's goroutine or from this one.
-func (c *Caller) CallAsync(method string, params []byte, f func(Response)) {
+// CallAsync sends a request and returns. onResponse is called when the call ends, on Run's goroutine or, if the
+// connection has ended, on this one.
+func (c *Caller) CallAsync(method string, params []byte, onResponse func(Response)) {
 	c.mu.Lock()
 	if c.ended {
 		c.mu.Unlock()
-		f(Response{Err: ErrConnectionLost})
+		onResponse(Response{Err: ErrConnectionLost})
 		return
 	}
-	c.last++
-	id := NumberID(c.last)
-	c.wait[string(id)] = f
+	c.lastID++
+	id := NumberID(c.lastID)
+	c.pending[string(id)] = onResponse
 	c.mu.Unlock()
 	c.Write(AppendRequest(nil, id, method, params))
 }
@@ -168,42 +169,42 @@
 	c.Write(AppendRequest(nil, nil, method, params))
 }
 
-// Call asks and waits.
+// Call sends a request and waits for the response or the end of the context.
 func (c *Caller) Call(ctx context.Context, method string, params []byte) Response {
-	got := make(chan Response, 1)
-	c.CallAsync(method, params, func(a Response) { got <- a })
+	response := make(chan Response, 1)
+	c.CallAsync(method, params, func(a Response) { response <- a })
 	select {
-	case a := <-got:
+	case a := <-response:
 		return a
 	case <-ctx.Done():
 		return Response{Err: ctx.Err()}
 	}
 }
 
-// HandleInvalid implements Peer.
+// HandleInvalid implements Handler. It closes the connection.
 func (c *Caller) HandleInvalid(ID, int, string) { c.Close() }
 
-// HandleRequest implements Peer.
+// HandleRequest implements Handler.
 func (c *Caller) HandleRequest(_ ID, method string, params []byte) {
 	if c.OnNotification != nil {
 		c.OnNotification(method, params)
 	}
 }
 
-// HandleResponse implements Peer.
+// HandleResponse implements Handler.
 func (c *Caller) HandleResponse(id ID, result []byte, code int, message string, data []byte) {
 	c.mu.Lock()
-	f := c.wait[string(id)]
+	onResponse := c.pending[string(id)]
 	if !c.Streaming {
-		delete(c.wait, string(id))
+		delete(c.pending, string(id))
 	}
 	c.mu.Unlock()
-	if f != nil {
-		f(Response{Result: bytes.Clone(result), Code: code, Message: message, Data: bytes.Clone(data)})
+	if onResponse != nil {
+		onResponse(Response{Result: bytes.Clone(result), Code: code, Message: message, Data: bytes.Clone(data)})
 	}
 }
 
-// Closed tells whether the stream has ended.
+// Closed reports whether the stream has ended.
 func (c *Caller) Closed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/jsonrpc/framing.go
+++ b/internal/jsonrpc/framing.go
@@ -1,8 +1,8 @@
 // Package jsonrpc reads and writes JSON-RPC 2.0 (the specification of 2013-01-04) on byte streams.
 //
-// A stream carries one JSON value a line, or values that each follow headers with a Content-Length, as the Language
-// Server Protocol's base protocol has them. Its first byte that is not white space decides: a 'C' or 'c' begins a
-// header. What is written back is framed alike.
+// A stream carries either one JSON value a line, or values that each follow headers with a Content-Length, as in the
+// base protocol of the Language Server Protocol. The first byte that is not white space decides: 'C' or 'c' starts a
+// header. Responses are framed in the same way.
 package jsonrpc
 
 import (
@@ -15,38 +15,39 @@
 	"strings"
 )
 
-// ErrTooLarge is a value over the limit. It was read past; the next one follows.
+// ErrTooLarge is returned for a value that exceeds the limit. The value is skipped, and reading can continue.
 var ErrTooLarge = errors.New("value larger than the limit")
 
-// maxHeader bounds the headers of one value: far more than any client sends.
+// maxHeader is the maximum size of the headers of one value: far more than any client sends.
 const maxHeader = 4096
 
-// Reader takes values off a stream.
+// Reader reads JSON values from a stream.
 type Reader struct {
-	b       *bufio.Reader
+	in      *bufio.Reader
 	limit   int
 	started bool
 	headers bool
 	buf     []byte
 }
 
-// NewReader reads values of up to limit bytes.
+// NewReader returns a Reader of values of up to limit bytes.
 func NewReader(r io.Reader, limit int) *Reader {
-	return &Reader{b: bufio.NewReaderSize(r, 1<<14), limit: limit}
+	return &Reader{in: bufio.NewReaderSize(r, 1<<14), limit: limit}
 }
 
-// HasHeaders tells whether the stream's values follow headers; known once a value was read.
+// HasHeaders reports whether the stream's values follow headers. It is valid after the first call of Next.
 func (r *Reader) HasHeaders() bool { return r.headers }
 
-// Remaining is the stream behind what was taken off it, for a codec that follows.
-func (r *Reader) Remaining() io.Reader { return r.b }
+// Remaining returns the rest of the stream, to be read in another codec.
+func (r *Reader) Remaining() io.Reader { return r.in }
 
-// Next returns the next value's bytes, good until the next call. At a clean end it returns io.EOF, within a value
-// io.ErrUnexpectedEOF, and ErrTooLarge for a value that was passed over. Any other error ends the stream.
+// Next returns the next value, valid until the next call. It returns io.EOF at the end of the stream,
+// io.ErrUnexpectedEOF if the stream ends within a value, and ErrTooLarge for a value that it has skipped. After any
+// error but ErrTooLarge the stream cannot be read further.
 func (r *Reader) Next() ([]byte, error) {
 	if !r.started {
 		for {
-			c, err := r.b.ReadByte()
+			c, err := r.in.ReadByte()
 			if err != nil {
 				return nil, err
 			}
@@ -56,12 +57,12 @@
 			}
 		}
 		r.started = true
-		if err := r.b.UnreadByte(); err != nil {
+		if err := r.in.UnreadByte(); err != nil {
 			return nil, err
 		}
 	}
 	if r.headers {
-		return r.nextBehindHeaders()
+		return r.nextWithHeaders()
 	}
 	for {
 		line, err := r.line()
@@ -74,12 +75,12 @@
 	}
 }
 
-// line returns one line of up to the limit; the last one may lack its end.
+// line returns one line of up to the limit. The last line of a stream may lack the newline.
 func (r *Reader) line() ([]byte, error) {
 	r.buf = r.buf[:0]
 	tooLarge := false
 	for {
-		part, err := r.b.ReadSlice('\n')
+		part, err := r.in.ReadSlice('\n')
 		if err == nil && len(r.buf) == 0 && !tooLarge && len(part) <= r.limit+2 {
 			return part, nil
 		}
@@ -96,68 +97,68 @@
 		case err == nil:
 			return r.buf, nil
 		case err == io.EOF && len(bytes.TrimSpace(r.buf)) > 0:
-			// a stream that ends within a line: a whole value is taken, half of one is found out by its reader
+			// the stream ends without a newline: the line may hold a complete value, which the decoder finds out
 			return r.buf, nil
 		}
 		return nil, err
 	}
 }
 
-func (r *Reader) nextBehindHeaders() ([]byte, error) {
-	length, size := -1, 0
+func (r *Reader) nextWithHeaders() ([]byte, error) {
+	length, headerBytes := -1, 0
 	for {
-		part, err := r.b.ReadSlice('\n')
-		size += len(part)
-		if err == bufio.ErrBufferFull || size > maxHeader {
-			return nil, fmt.Errorf("headers of more than %d bytes", maxHeader)
+		line, err := r.in.ReadSlice('\n')
+		headerBytes += len(line)
+		if err == bufio.ErrBufferFull || headerBytes > maxHeader {
+			return nil, fmt.Errorf("headers larger than %d bytes", maxHeader)
 		}
 		if err != nil {
-			if err == io.EOF && size > 0 {
+			if err == io.EOF && headerBytes > 0 {
 				err = io.ErrUnexpectedEOF
 			}
 			return nil, err
 		}
-		text := strings.TrimRight(string(part), "\r\n")
-		if text == "" {
+		header := strings.TrimRight(string(line), "\r\n")
+		if header == "" {
 			if length >= 0 {
 				break
 			}
-			if size == len(part) { // blank lines before the headers
-				size = 0
+			if headerBytes == len(line) { // blank lines before the headers
+				headerBytes = 0
 				continue
 			}
 			return nil, errors.New("headers without Content-Length")
 		}
-		name, value, found := strings.Cut(text, ":")
+		name, value, found := strings.Cut(header, ":")
 		if !found {
-			return nil, fmt.Errorf("header %.40q has no colon", text)
+			return nil, fmt.Errorf("header %.40q has no colon", header)
 		}
 		if strings.EqualFold(name, "Content-Length") {
 			if length, err = strconv.Atoi(strings.TrimSpace(value)); err != nil || length < 0 {
-				return nil, fmt.Errorf("Content-Length %.40q is not a length", value)
+				return nil, fmt.Errorf("invalid Content-Length %.40q", value)
 			}
 		}
 	}
 	if length > r.limit {
-		if n, err := io.CopyN(io.Discard, r.b, int64(length)); err != nil {
+		if n, err := io.CopyN(io.Discard, r.in, int64(length)); err != nil {
 			return nil, fmt.Errorf("value of %d bytes is cut short after %d: %w", length, n, io.ErrUnexpectedEOF)
 		}
 		return nil, ErrTooLarge
 	}
-	// read as it comes: a claimed length alone allocates nothing
+	// the buffer grows with the data received: a claimed length alone allocates nothing
 	r.buf = r.buf[:0]
 	for len(r.buf) < length {
 		n := min(length-len(r.buf), 1<<16)
-		at := len(r.buf)
+		start := len(r.buf)
 		r.buf = append(r.buf, make([]byte, n)...)
-		if _, err := io.ReadFull(r.b, r.buf[at:]); err != nil {
+		if _, err := io.ReadFull(r.in, r.buf[start:]); err != nil {
 			return nil, fmt.Errorf("value of %d bytes is cut short: %w", length, io.ErrUnexpectedEOF)
 		}
 	}
 	return r.buf, nil
 }
 
-// AppendFrame appends value to out as the stream frames it.
+// AppendFrame appends value to out, framed with headers or as a line.
 func AppendFrame(out, value []byte, headers bool) []byte {
 	if headers {
 		out = append(out, "Content-Length: "...)
--- a/internal/jsonrpc/jsonrpc_test.go
+++ b/internal/jsonrpc/jsonrpc_test.go
@@ -9,28 +9,29 @@
 	"testing"
 )
 
-// told keeps what a decoder tells, one line each.
-type told struct{ lines []string }
+// recorder is a Handler that records each call as a line of text.
+type recorder struct{ lines []string }
 
-func (p *told) say(format string, args ...any) {
-	p.lines = append(p.lines, fmt.Sprintf(format, args...))
+func (r *recorder) record(format string, args ...any) {
+	r.lines = append(r.lines, fmt.Sprintf(format, args...))
 }
-func (p *told) BeginBatch() { p.say("[") }
-func (p *told) EndBatch()   { p.say("]") }
-func (p *told) HandleRequest(id ID, method string, params []byte) {
-	p.say("asked %s %s %s", id, method, params)
+func (r *recorder) BeginBatch() { r.record("[") }
+func (r *recorder) EndBatch()   { r.record("]") }
+func (r *recorder) HandleRequest(id ID, method string, params []byte) {
+	r.record("asked %s %s %s", id, method, params)
 }
-func (p *told) HandleResponse(id ID, result []byte, code int, message string, data []byte) {
-	p.say("answered %s %s %d %s %s", id, result, code, message, data)
+func (r *recorder) HandleResponse(id ID, result []byte, code int, message string, data []byte) {
+	r.record("answered %s %s %d %s %s", id, result, code, message, data)
 }
-func (p *told) HandleInvalid(id ID, code int, message string) { p.say("broken %s %d", id, code) }
+func (r *recorder) HandleInvalid(id ID, code int, message string) { r.record("broken %s %d", id, code) }
 
 func decode(value string) string {
-	var p told
-	new(Decoder).Decode([]byte(value), &p)
-	return strings.Join(p.lines, "; ")
+	var r recorder
+	new(Decoder).Decode([]byte(value), &r)
+	return strings.Join(r.lines, "; ")
 }
 
+// TestDecode checks how Decoder passes on valid, invalid and batched messages.
 func TestDecode(t *testing.T) {
 	for value, want := range map[string]string{
 		`{"jsonrpc":"2.0","id":1,"method":"m","params":{"a":1}}`:                 `asked 1 m {"a":1}`,
@@ -53,11 +54,12 @@
 		`{"jsonrpc":"2.0","method":"m"} trailing`:                                `broken null -32700`,
 	} {
 		if got := decode(value); got != want {
-			t.Errorf("%.80s: %s, want %s", value, got, want)
+			t.Errorf("decoding %.80s: got %s, want %s", value, got, want)
 		}
 	}
 }
 
+// TestFraming checks that Reader finds the values of a stream in both kinds of framing, and reports errors of framing.
 func TestFraming(t *testing.T) {
 	for _, c := range []struct{ in, want string }{
 		{"a\nb\n", "a|b|EOF"},
@@ -70,10 +72,10 @@
 		{"Content-Length: 30\r\n\r\n" + strings.Repeat("x", 30) + "\nContent-Length: 1\r\n\r\nd", "value larger than the limit|d|EOF"},
 		{"Content-Length: 3\r\n\r\nab", "value of 3 bytes is cut short: unexpected EOF"},
 		{"Content-Length: 3", "unexpected EOF"},
-		{"Content-Length: -3\r\n\r\n", `Content-Length " -3" is not a length`},
+		{"Content-Length: -3\r\n\r\n", `invalid Content-Length " -3"`},
 		{"Content-Type: x\r\n\r\n", "headers without Content-Length"},
 		{"Content\r\n\r\n", `header "Content" has no colon`},
-		{"C" + strings.Repeat("x", 20000), "headers of more than 4096 bytes"},
+		{"C" + strings.Repeat("x", 20000), "headers larger than 4096 bytes"},
 	} {
 		r := NewReader(strings.NewReader(c.in), 20)
 		var got []string
@@ -89,17 +91,18 @@
 			}
 		}
 		if g := strings.Join(got, "|"); g != c.want {
-			t.Errorf("%.60q: %s, want %s", c.in, g, c.want)
+			t.Errorf("reading %.60q: got %s, want %s", c.in, g, c.want)
 		}
 	}
 }
 
-// Whatever comes, a stream's values are the same however it is cut, and each gets a word.
+// FuzzStream checks for any input that the values read do not depend on how the stream is split into reads, and that
+// each value results in at least one call of the Handler.
 func FuzzStream(f *testing.F) {
 	f.Add([]byte(`{"jsonrpc":"2.0","id":1,"method":"m"}`+"\n"), uint8(3))
 	f.Add([]byte("Content-Length: 2\r\n\r\n[]"), uint8(1))
 	f.Add([]byte("[1,{\"a\":[]}]\n\n7"), uint8(7))
-	f.Fuzz(func(t *testing.T, in []byte, cut uint8) {
+	f.Fuzz(func(t *testing.T, in []byte, chunkSize uint8) {
 		read := func(r io.Reader) (out []string) {
 			reader := NewReader(r, 64)
 			for {
@@ -111,30 +114,31 @@
 					}
 					continue
 				}
-				said := decode(string(value))
-				if said == "" {
-					t.Fatalf("%q: nothing told", value)
+				decoded := decode(string(value))
+				if decoded == "" {
+					t.Fatalf("decoding %q: no call of the handler", value)
 				}
-				out = append(out, said)
+				out = append(out, decoded)
 			}
 		}
-		whole, parts := read(bytes.NewReader(in)), read(&chopped{in, int(cut)%13 + 1})
-		if strings.Join(whole, "\n") != strings.Join(parts, "\n") {
-			t.Errorf("whole %q, cut %q", whole, parts)
+		whole, chunked := read(bytes.NewReader(in)), read(&chunkedReader{in, int(chunkSize)%13 + 1})
+		if strings.Join(whole, "\n") != strings.Join(chunked, "\n") {
+			t.Errorf("read at once: %q, read in chunks: %q", whole, chunked)
 		}
 	})
 }
 
-type chopped struct {
-	rest []byte
-	n    int
+// chunkedReader returns at most chunk bytes per read.
+type chunkedReader struct {
+	rest  []byte
+	chunk int
 }
 
-func (c *chopped) Read(to []byte) (int, error) {
+func (c *chunkedReader) Read(to []byte) (int, error) {
 	if len(c.rest) == 0 {
 		return 0, io.EOF
 	}
-	n := copy(to, c.rest[:min(c.n, len(c.rest))])
+	n := copy(to, c.rest[:min(c.chunk, len(c.rest))])
 	c.rest = c.rest[n:]
 	return n, nil
 }
