--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -137,7 +137,7 @@
 			permissions, err = s.opts.Allow.Authorize(uid, gid)
 		}
 		if err != nil {
-			s.opts.Log.Warn().Err(err).Msg("connection refused by the access rules")
+			s.opts.Log.Warn().Err(err).Msg("connection refused: access check failed")
 			refuse(nc, PermissionDenied, err.Error())
 			continue
 		}
