--- a/internal/dispatch/front.go
+++ b/internal/dispatch/front.go
@@ -413,5 +413,5 @@
 	}
 }
 
-// HeldChanged implements engine.Client.
-func (w *work) HeldChanged(held bool) { w.lead.ticket.SetHeld(held) }
+// QueuedChanged implements engine.Client.
+func (w *work) QueuedChanged(held bool) { w.lead.ticket.SetHeld(held) }
--- a/internal/engine/bench_test.go
+++ b/internal/engine/bench_test.go
@@ -8,31 +8,32 @@
 	"mallowlanding/router"
 )
 
-type idle struct{}
+// ignoringClient is a Client that ignores its answer.
+type ignoringClient struct{}
 
-func (idle) OK([]byte, []byte)  {}
-func (idle) Denied(router.Time) {}
-func (idle) Aborted(string)     {}
-func (idle) HeldChanged(bool)   {}
+func (ignoringClient) OK([]byte, []byte)  {}
+func (ignoringClient) Denied(router.Time) {}
+func (ignoringClient) Aborted(string)     {}
+func (ignoringClient) QueuedChanged(bool) {}
 
-// prompt answers each call-out in the turn after.
-type prompt struct {
+// promptLink is a link that collects the call-outs sent in a turn; the benchmark answers them in the next turn.
+type promptLink struct {
 	e    *Engine
 	sent []CallOutID
 }
 
-func (l *prompt) Send(id CallOutID, _ *RPC, _, _ router.Time)               { l.sent = append(l.sent, id) }
-func (l *prompt) CancelLoadOrder(OrderID)                                   {}
-func (l *prompt) CancelCallOut(CallOutID)                                   {}
-func (l *prompt) OrderLoad(OrderID, string, FunctionSpec, int, router.Time) {}
-func (l *prompt) Check(CheckID)                                             {}
+func (l *promptLink) Send(id CallOutID, _ *RPC, _, _ router.Time)               { l.sent = append(l.sent, id) }
+func (l *promptLink) CancelLoadOrder(OrderID)                                   {}
+func (l *promptLink) CancelCallOut(CallOutID)                                   {}
+func (l *promptLink) OrderLoad(OrderID, string, FunctionSpec, int, router.Time) {}
+func (l *promptLink) Check(CheckID)                                             {}
 
-// BenchmarkWarm is the engine and the module alone: one RPC on a warm copy, two turns.
+// BenchmarkWarm measures the engine and the router alone: one RPC on a warm copy, in two turns.
 func BenchmarkWarm(b *testing.B) {
 	e := New(Options{Now: 1e6, Log: func(string) {}, Settings: router.Settings{
 		settingkeys.Methods: 1.0, settingkeys.Item(settingkeys.Methods, 0, settingkeys.Effect): router.Idempotent,
 		settingkeys.Join(settingkeys.May, settingkeys.CallOuts): 3.0}})
-	l := &prompt{e: e}
+	l := &promptLink{e: e}
 	now := router.Time(1e6)
 	e.BeginTurn(now)
 	e.BeginWorkerList(router.ListComplete, 1)
@@ -47,7 +48,7 @@
 	for range b.N {
 		now++
 		e.BeginTurn(now)
-		e.Submit(0, m, 0, "f", FunctionSpec{MemoryMB: 100, Lanes: 4, LoadTime: 100}, "", 30000, false, nil, nil, idle{})
+		e.Submit(0, m, 0, "f", FunctionSpec{MemoryMB: 100, Lanes: 4, LoadTime: 100}, "", 30000, false, nil, nil, ignoringClient{})
 		e.EndTurn()
 		now++
 		e.BeginTurn(now)
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,9 +1,10 @@
-// Package engine runs one front end: it turns what happens in the world into the module's calls, and what the
-// module decides into what goes out. It knows no socket and no clock: links to workers, clients that are owed
-// answers and the time of a turn come through narrow interfaces, so that the same engine runs on sockets and in a
-// simulation. It decides nothing on its own.
+// Package engine connects one front end's router to its clients and workers: it passes their events to the router
+// and carries out what the router decides. It makes no routing decision of its own. It uses neither sockets nor a
+// clock: clients, links to workers and the current time come through narrow interfaces, so that the same engine runs
+// on sockets and in a simulation.
 //
-// An engine belongs to one goroutine. A turn is Begin, then all events of one moment, then End.
+// An engine belongs to one goroutine. It runs in turns of an event loop: BeginTurn, then all events of one moment, then
+// EndTurn.
 package engine
 
 import (
@@ -20,121 +21,123 @@
 	"mallowlanding/router"
 )
 
-// Client is where an RPC's final answer goes: exactly one of OK, Denied and Aborted is called, once, unless the client
-// left.
+// Client receives the final answer of an RPC: exactly one of OK, Denied and Aborted is called, once, unless the client
+// has left.
 type Client interface {
-	OK(result, blob []byte)      // blob: bytes beside the result, where the RPC came with some
-	Denied(comeBack router.Time) // 0: no advice when to come back
+	OK(result, blob []byte)        // blob: the result's binary part, for an RPC that came with one
+	Denied(retryAfter router.Time) // 0: no advice when to retry
 	Aborted(cause string)
-	HeldChanged(held bool) // the RPC went out to a worker, or is held by the module again
+	QueuedChanged(held bool) // whether the RPC waits in the router or is in flight to a worker
 }
 
-// Link is the way to one worker. Its methods don't wait; what comes of them is told to the engine in a later turn.
-// A link that breaks ends all that is out on it by itself: see Engine.Answered, Held and Checked.
+// Link sends to one worker. Its methods don't block; their results are reported to the engine in a later turn. A link
+// whose connection breaks ends everything in flight on it: see Engine.CallOutEnded, LoadOrderEnded and CheckEnded.
 type Link interface {
-	// Send sends an RPC whose client still waits for left. What has not begun to leave by a time never leaves: it ends as
-	// Moot. So does an order.
-	Send(id CallOutID, rpc *RPC, left, by router.Time)
+	// Send sends a call-out of an RPC whose client waits for left from now on. A call-out of which no byte has been sent
+	// by the time sendBy is not sent any more and ends as router.NotSent. The same holds for a load order.
+	Send(id CallOutID, rpc *RPC, left, sendBy router.Time)
 	CancelCallOut(id CallOutID)
-	CancelLoadOrder(id OrderID) // nobody wants the load any more
-	OrderLoad(id OrderID, function string, fn FunctionSpec, copies int, by router.Time)
+	CancelLoadOrder(id OrderID) // no RPC needs the load any more
+	OrderLoad(id OrderID, function string, spec FunctionSpec, copies int, sendBy router.Time)
 	Check(id CheckID)
 }
 
-// Each kind of id is a type of its own.
+// IDs of call-outs, load orders and checks.
 type (
 	CallOutID uint64
 	OrderID   uint64
 	CheckID   uint64
 )
 
-// Method is what the settings say of a kind of RPC that the engine needs itself.
+// Method holds the settings of a method that the engine and the links use.
 type Method struct {
 	Name         string
 	Effect       string
-	Group        string  // of a tokened one: the workers that drop its repeats
-	Gain         float64 // what an answer in time is worth
+	Group        string  // for a tokened method: the workers among which repeats are recognized
+	Gain         float64 // value of an answer in time
 	SoftDeadline router.Time
-	MaxBatch     int         // so many of one function may ride one call-out to a worker; 1: none do
-	BatchWait    router.Time // for so long they may wait for each other
+	MaxBatch     int         // most RPCs of one function in one call-out to a worker; 1: no batches
+	BatchWait    router.Time // longest wait for further RPCs of a batch
 	Deadline     router.Time
-	MaxBytes     int64 // of one RPC's payload; 0: no bound of its own
-	Removed      bool  // it was removed: only RPCs that came before have it
+	MaxBytes     int64 // limit of an RPC's payload; 0: no limit of the method's own
+	Removed      bool  // no longer in the settings; only RPCs submitted before still use it
 }
 
-// FunctionSpec is what the settings tell of a loaded copy of a function.
+// FunctionSpec holds the settings of a function's copies.
 type FunctionSpec struct {
-	MemoryMB float64 // MB of one copy
-	Lanes    int     // RPCs side by side in one copy
+	MemoryMB float64 // of one copy
+	Lanes    int     // RPCs that one copy runs at the same time
 	LoadTime router.Time
 }
 
-// RPC is the handle of one RPC.
+// RPC is one RPC at the engine.
 type RPC struct {
-	e        *Engine
-	id       router.RPCID
-	client   Client
-	end      router.Time
-	deadline eventloop.Timer
-	calls    []callOut
-	out      int
-	closed   bool   // answered, or its client left
-	cause    string // what the last failed call-out told
-	leave    cancellation.RPC
-	callOff  eventloop.Timer
-	place    router.MethodID
+	e           *Engine
+	id          router.RPCID
+	client      Client
+	expiresAt   router.Time
+	expiryTimer eventloop.Timer
+	callOuts    []callOut
+	inFlight    int
+	closed      bool   // answered, or the client left
+	lastCause   string // error text of the last failed call-out
+	cancelState cancellation.RPC
+	cancelTimer eventloop.Timer
+	methodIndex router.MethodID
 
 	Method       *Method
 	Function     string
 	Spec         FunctionSpec
 	Token        string
-	ClientRPCID  string // the client's own id; empty: it has none
+	ClientRPCID  string // the client's own id of the RPC; empty: none
 	Customer     string
-	SoftDeadline router.Time // when its soft deadline is over
+	SoftDeadline router.Time // time at which the soft deadline expires
 	Payload      []byte      // JSON
-	Blob         []byte      // bytes beside it
+	Blob         []byte      // binary part of the payload
 }
 
-type named struct {
-	name string
-	fn   FunctionSpec
-	used router.Time // last taken or ordered
+// knownFunction is a function named by an RPC; Engine.functions holds it by the id of its name.
+type knownFunction struct {
+	name     string
+	spec     FunctionSpec
+	lastUsed router.Time // last RPC submitted or load ordered
 }
 
 type callOut struct {
 	worker *worker
-	at     router.Time
-	done   bool
+	sentAt router.Time
+	ended  bool
 }
 
 type worker struct {
-	id     router.WorkerID
-	name   string
-	link   Link
-	listed uint64      // the last list that named it
-	gone   router.Time // since when it is; 0: it is not
+	id        router.WorkerID
+	name      string
+	link      Link
+	lastList  uint64      // number of the last worker list that contained it
+	removedAt router.Time // when it left the worker list; 0: it is in the list
 }
 
-// The module forgets what nothing was heard of for ten minutes; names are kept for longer, since it goes by their ids.
+// The router drops functions and workers that had no events for ten minutes. Their names are kept longer, because the
+// router refers to them by the ids of their names.
 const (
-	forgetAfter = router.Time(20 * time.Minute / eventloop.Unit)
-	forgetLook  = router.Time(10 * time.Second / eventloop.Unit) // how often that is looked at
+	retention     = router.Time(20 * time.Minute / eventloop.Unit)
+	pruneInterval = router.Time(10 * time.Second / eventloop.Unit) // between two calls of Engine.prune
 )
 
 type order struct {
 	worker  *worker
 	fn      router.FunctionID
-	at      router.Time
-	timeOut eventloop.Timer
+	sentAt  router.Time
+	timeout eventloop.Timer
 }
 
 type check struct {
 	worker  *worker
-	at      router.Time
-	timeOut eventloop.Timer
+	sentAt  router.Time
+	timeout eventloop.Timer
 }
 
-// Counts are an engine's sums since it began.
+// Counts are the engine's counters since its start.
 type Counts struct {
 	Taken    uint64 `json:"taken"`
 	OK       uint64 `json:"ok"`
@@ -145,328 +148,345 @@
 	Orders   uint64 `json:"load_orders"`
 	Checks   uint64 `json:"checks"`
 	Turns    uint64 `json:"turns"`
-	Open     int    `json:"open"` // taken and not yet answered
+	Open     int    `json:"open"` // submitted and not yet answered
 }
 
 // Engine runs one front end.
 type Engine struct {
-	timers  eventloop.Timers
-	core    *routing.FrontEndRouter
-	log     func(text string)
-	now     router.Time
-	margin  router.Time
-	most    int
-	overlap bool
-	orderBy router.Time
-	lastRPC uint32
-	lastID  uint64
-	rpcs    map[router.RPCID]*RPC
-	workers map[router.WorkerID]*worker
-	names   map[router.FunctionID]named
-	orders  map[OrderID]*order
-	checks  map[CheckID]*check
-	later   []func()
-	counts  Counts
-	listen  func()
-	givenUp func(*RPC, router.Reason)
-	wanted  *cancellation.LoadDemand[OrderID]
-	lists   uint64      // of workers, that came
-	whole   bool        // the last of them
-	forgot  router.Time // when it was last looked what may be forgotten
-	within  router.Time // workers have so long to tell what came of a call-off
-}
-
-// Options are what an engine is told besides the module's settings.
+	timers       eventloop.Timers
+	router       *routing.FrontEndRouter
+	log          func(text string)
+	now          router.Time
+	answerMargin router.Time
+	maxCallOuts  int
+	overlap      bool
+	orderTimeout router.Time
+	lastRPCID    uint32
+	lastID       uint64
+	rpcs         map[router.RPCID]*RPC
+	workers      map[router.WorkerID]*worker
+	functions    map[router.FunctionID]knownFunction
+	orders       map[OrderID]*order
+	checks       map[CheckID]*check
+	deferred     []func()
+	counts       Counts
+	subscribe    func()
+	onGiveUp     func(*RPC, router.Reason)
+	demand       *cancellation.LoadDemand[OrderID]
+	listCount    uint64      // worker lists received
+	listComplete bool        // the last worker list is a complete one
+	lastPrune    router.Time // time of the last call of prune
+	cancelWait   router.Time // see Options.CancelWait
+}
+
+// Options configure an engine.
 type Options struct {
 	Settings     router.Settings
 	Seed         int64
 	Now          router.Time
-	AnswerMargin router.Time                     // kept of each RPC's time for the answer's way to the client
-	Log          func(text string)               // the module's lines for those on call
-	NewRouter    routing.Factory                 // nil: the router
-	CancelWait   router.Time                     // how long workers have to tell what came of a call-off
-	Subscribe    func()                          // the module asks for changes of the list; nil: they come by themselves
-	OnGiveUp     func(p *RPC, why router.Reason) // the module gives an RPC up; nil: nobody wants to know
+	AnswerMargin router.Time                       // part of an RPC's time reserved for sending its answer to the client
+	Log          func(text string)                 // receives the router's log lines
+	NewRouter    routing.Factory                   // nil: router.New
+	CancelWait   router.Time                       // how long workers may take to report the end of a cancelled call-out
+	Subscribe    func()                            // asks for changes of the worker list; nil: they come unasked
+	OnGiveUp     func(rpc *RPC, why router.Reason) // called when the router denies or aborts an RPC; may be nil
 }
 
-// New starts an engine at o.Now.
+// New makes an engine whose time starts at o.Now.
 func New(o Options) *Engine {
-	e := &Engine{log: o.Log, now: o.Now, margin: o.AnswerMargin, rpcs: map[router.RPCID]*RPC{},
-		workers: map[router.WorkerID]*worker{}, names: map[router.FunctionID]named{},
-		orders: map[OrderID]*order{}, checks: map[CheckID]*check{}, listen: o.Subscribe, givenUp: o.OnGiveUp,
-		wanted: cancellation.NewLoadDemand[OrderID](), within: o.CancelWait}
-	if e.givenUp == nil {
-		e.givenUp = func(*RPC, router.Reason) {}
-	}
-	e.heed(o.Settings)
-	e.core = routing.New(o.NewRouter, (*port)(e), o.Now, o.Seed, o.Settings)
+	e := &Engine{log: o.Log, now: o.Now, answerMargin: o.AnswerMargin, rpcs: map[router.RPCID]*RPC{},
+		workers: map[router.WorkerID]*worker{}, functions: map[router.FunctionID]knownFunction{},
+		orders: map[OrderID]*order{}, checks: map[CheckID]*check{}, subscribe: o.Subscribe, onGiveUp: o.OnGiveUp,
+		demand: cancellation.NewLoadDemand[OrderID](), cancelWait: o.CancelWait}
+	if e.onGiveUp == nil {
+		e.onGiveUp = func(*RPC, router.Reason) {}
+	}
+	e.readSettings(o.Settings)
+	e.router = routing.New(o.NewRouter, (*actions)(e), o.Now, o.Seed, o.Settings)
 	return e
 }
 
-// heed reads what the engine itself needs of the module's settings.
-func (e *Engine) heed(s router.Settings) {
+// readSettings takes over the router settings that the engine itself uses.
+func (e *Engine) readSettings(s router.Settings) {
 	number := func(name string) float64 { v, _ := s[name].(float64); return v }
-	e.most = int(number(settingkeys.Join(settingkeys.May, settingkeys.CallOuts)))
+	e.maxCallOuts = int(number(settingkeys.Join(settingkeys.May, settingkeys.CallOuts)))
 	e.overlap, _ = s[settingkeys.Join(settingkeys.May, settingkeys.Overlap)].(bool)
-	e.orderBy = router.Time(number(settingkeys.Join(settingkeys.Functions, settingkeys.OrderTimeout)))
+	e.orderTimeout = router.Time(number(settingkeys.Join(settingkeys.Functions, settingkeys.OrderTimeout)))
 }
 
-// UpdateSettings takes new settings, as they are and as the module reads them; in a turn. Methods are all that there are, at their places; RPCs taken before are bound by
-// the stricter of both.
-func (e *Engine) UpdateSettings(s router.Settings, p router.ParsedSettings, methods []Method) {
-	e.heed(s)
-	for _, p := range e.rpcs {
-		m := &methods[p.place]
-		p.leave.Tighten(m.Effect, m.Group)
+// UpdateSettings applies new settings within a turn: s as given, parsed as the router reads them. Methods holds all
+// methods by their index in the settings. RPCs submitted before obey the stricter of the old and the new effect of
+// their method.
+func (e *Engine) UpdateSettings(s router.Settings, parsed router.ParsedSettings, methods []Method) {
+	e.readSettings(s)
+	for _, r := range e.rpcs {
+		m := &methods[r.methodIndex]
+		r.cancelState.Tighten(m.Effect, m.Group)
 	}
-	e.core.UpdateSettings(e.now, p)
+	e.router.UpdateSettings(e.now, parsed)
 }
 
 // BeginTurn begins a turn.
 func (e *Engine) BeginTurn(now router.Time) {
 	e.now = now
 	e.counts.Turns++
-	e.passLater()
-	if now-e.forgot >= forgetLook {
-		e.forgot = now
-		e.forget()
+	e.runDeferred()
+	if now-e.lastPrune >= pruneInterval {
+		e.lastPrune = now
+		e.prune()
 	}
 }
 
-// forget drops names and workers that nothing can happen to any more: memory must not grow with all that ever were.
-func (e *Engine) forget() {
-	out := map[router.FunctionID]bool{}
+// prune drops functions and workers that no RPC, load order or worker list refers to any more, so that memory does not
+// grow with the number of names ever seen.
+func (e *Engine) prune() {
+	inUse := map[router.FunctionID]bool{}
 	for _, o := range e.orders {
-		out[o.fn] = true
+		inUse[o.fn] = true
 	}
-	for _, p := range e.rpcs {
-		out[nameid.Function(p.Function)] = true
+	for _, r := range e.rpcs {
+		inUse[nameid.Function(r.Function)] = true
 	}
-	maps.DeleteFunc(e.names, func(fn router.FunctionID, n named) bool { return !out[fn] && e.now-n.used >= forgetAfter })
-	maps.DeleteFunc(e.workers, func(_ router.WorkerID, w *worker) bool { return w.gone > 0 && e.now-w.gone >= forgetAfter })
+	maps.DeleteFunc(e.functions, func(id router.FunctionID, f knownFunction) bool {
+		return !inUse[id] && e.now-f.lastUsed >= retention
+	})
+	maps.DeleteFunc(e.workers, func(_ router.WorkerID, w *worker) bool {
+		return w.removedAt > 0 && e.now-w.removedAt >= retention
+	})
 }
 
-// EndTurn ends a turn: timers that are due, then the module settles once.
+// EndTurn ends a turn: it runs the timers that are due, then lets the router dispatch once.
 func (e *Engine) EndTurn() {
 	e.timers.Fire(e.now)
-	e.core.Dispatch(e.now)
+	e.router.Dispatch(e.now)
 }
 
-// NextDue tells when the engine wants a turn though nothing comes.
+// NextDue returns when the engine needs a turn even if no event arrives; false: never.
 func (e *Engine) NextDue() (router.Time, bool) {
-	if len(e.later) > 0 {
+	if len(e.deferred) > 0 {
 		return e.now, true
 	}
 	return e.timers.NextDue()
 }
 
-// passLater hands on what came of the last turn's own actions: never in the turn that took them.
-func (e *Engine) passLater() {
-	later := e.later
-	e.later = nil
+// runDeferred passes on results that the engine itself produced in the last turn. The router never gets the result of
+// an action within the turn of that action.
+func (e *Engine) runDeferred() {
+	later := e.deferred
+	e.deferred = nil
 	for _, f := range later {
 		f()
 	}
 }
 
-// Counts tells the sums so far.
+// Counts returns the counters, with the number of open RPCs.
 func (e *Engine) Counts() Counts {
 	c := e.counts
-	for _, p := range e.rpcs {
-		if !p.closed {
+	for _, r := range e.rpcs {
+		if !r.closed {
 			c.Open++
 		}
 	}
 	return c
 }
 
-// Describe tells what the module believes, where it can tell; see router.Router.
+// Describe returns the router's state as text, empty if this router has no description; see router.Router.
 func (e *Engine) Describe() string {
-	if v, can := e.core.Router.(interface{ Describe() string }); can {
-		return v.Describe()
+	if d, ok := e.router.Router.(interface{ Describe() string }); ok {
+		return d.Describe()
 	}
 	return ""
 }
 
-// Submit hands an RPC to the module. Left is how long its client waits from now on; m is the method's place in the
-// settings, customer the customer's, 0 where there are none. The function's name must not meet another's id: see
-// Meets.
-func (e *Engine) Submit(m router.MethodID, method *Method, customer router.CustomerID, function string, fn FunctionSpec,
-	token string, left router.Time, repeat bool, payload, blob []byte, client Client) *RPC {
-	for e.lastRPC++; e.rpcs[router.RPCID(e.lastRPC)] != nil; e.lastRPC++ {
-	}
-	id, fid := router.RPCID(e.lastRPC), nameid.Function(function)
-	e.names[fid] = named{function, fn, e.now}
-	p := &RPC{e: e, id: id, client: client, end: e.now + max(left-e.margin, 0), Method: method, Function: function,
-		Spec: fn, Token: token, Payload: payload, Blob: blob, SoftDeadline: e.now + method.SoftDeadline, place: m, leave: cancellation.RPC{Effect: method.Effect, Group: method.Group}}
-	e.rpcs[id] = p
-	e.wanted.RPCOpened(fid)
+// Submit passes an RPC to the router. Left is how long its client waits from now on. MethodIndex and customer are
+// indexes in the settings; customer is 0 where the settings list none. The id of the function's name must not be that
+// of another function: see IDCollision.
+func (e *Engine) Submit(methodIndex router.MethodID, method *Method, customer router.CustomerID, function string,
+	spec FunctionSpec, token string, left router.Time, repeat bool, payload, blob []byte, client Client) *RPC {
+	for e.lastRPCID++; e.rpcs[router.RPCID(e.lastRPCID)] != nil; e.lastRPCID++ {
+	}
+	id, functionID := router.RPCID(e.lastRPCID), nameid.Function(function)
+	e.functions[functionID] = knownFunction{function, spec, e.now}
+	r := &RPC{e: e, id: id, client: client, expiresAt: e.now + max(left-e.answerMargin, 0), Method: method,
+		Function: function, Spec: spec, Token: token, Payload: payload, Blob: blob,
+		SoftDeadline: e.now + method.SoftDeadline, methodIndex: methodIndex,
+		cancelState: cancellation.RPC{Effect: method.Effect, Group: method.Group}}
+	e.rpcs[id] = r
+	e.demand.RPCOpened(functionID)
 	e.counts.Taken++
-	e.timers.Set(&p.deadline, p.end, p.timeUp)
-	e.core.Submit(e.now, id, m, customer, fid, p.end-e.now, 0, fn.MemoryMB, fn.Lanes, fn.LoadTime, repeat)
-	e.release(p)
-	return p
+	e.timers.Set(&r.expiryTimer, r.expiresAt, r.expire)
+	e.router.Submit(e.now, id, methodIndex, customer, functionID, r.expiresAt-e.now, 0, spec.MemoryMB, spec.Lanes,
+		spec.LoadTime, repeat)
+	e.release(r)
+	return r
 }
 
-// IDCollision tells the name that already goes by the id of this one, where there is such a name.
-func (e *Engine) IDCollision(function string) (other string, meets bool) {
-	known, is := e.names[nameid.Function(function)]
-	return known.name, is && known.name != function
+// IDCollision returns the other known function whose name has the same id as this one, if there is one.
+func (e *Engine) IDCollision(function string) (other string, collides bool) {
+	known, ok := e.functions[nameid.Function(function)]
+	return known.name, ok && known.name != function
 }
 
-// LoadsHalted tells whether loads of a function are halted and no copy of it is believed to stand; see router.Router.
+// LoadsHalted reports whether loads of a function are halted and no copy of it is known to be loaded; see router.Router.
 func (e *Engine) LoadsHalted(function string) bool {
-	return e.core.LoadsHalted(nameid.Function(function))
+	return e.router.LoadsHalted(nameid.Function(function))
 }
 
-// ClientLeft tells that the client is gone: nothing is owed any more. What is out is called off, and what it alone wanted.
-func (p *RPC) ClientLeft() {
-	if p.closed {
+// ClientLeft ends an RPC whose client left, without an answer. It cancels the call-outs in flight, and the load orders
+// of its function if no other RPC needs them.
+func (r *RPC) ClientLeft() {
+	if r.closed {
 		return
 	}
-	p.e.counts.Left++
-	p.withdraw()
-	p.close()
-	p.e.release(p)
+	r.e.counts.Left++
+	r.cancelOutstanding()
+	r.close()
+	r.e.release(r)
 }
 
-// Cancel tells that the client wants no result any more, but its one answer: the result, if there is one by now;
-// denied, if a retry is harmless; else aborted. Workers have a while to tell what came of what was out there.
-func (p *RPC) Cancel() {
-	if p.closed || p.leave.Cancelled() {
+// Cancel handles a client's cancellation. The client still gets its one answer: the result, if it arrives in spite of
+// the cancellation; denied, if a retry is harmless; else aborted. Workers have Options.CancelWait to report the end of
+// the call-outs in flight.
+func (r *RPC) Cancel() {
+	if r.closed || r.cancelState.Cancelled() {
 		return
 	}
-	e := p.e
-	p.withdraw()
-	p.settle(p.leave.Verdict())
-	if !p.closed {
-		e.timers.Set(&p.callOff, min(e.now+e.within, p.end), func(router.Time) { p.settle(p.leave.VerdictOnTimeout()) })
+	e := r.e
+	r.cancelOutstanding()
+	r.answerCancelled(r.cancelState.Verdict())
+	if !r.closed {
+		e.timers.Set(&r.cancelTimer, min(e.now+e.cancelWait, r.expiresAt), func(router.Time) {
+			r.answerCancelled(r.cancelState.VerdictOnTimeout())
+		})
 	}
 }
 
-// AnswerAll gives every RPC that is open its one answer now, and calls off what is out: the process is about to end.
+// AnswerAll gives every open RPC its answer now and cancels the call-outs in flight, before the process ends.
 func (e *Engine) AnswerAll() {
 	for _, id := range slices.Sorted(maps.Keys(e.rpcs)) {
-		p := e.rpcs[id]
-		if p.Cancel(); !p.closed {
-			p.settle(p.leave.VerdictOnTimeout())
+		r := e.rpcs[id]
+		if r.Cancel(); !r.closed {
+			r.answerCancelled(r.cancelState.VerdictOnTimeout())
 		}
 	}
 }
 
-// CallOuts is how many call-outs the RPC has had.
-func (p *RPC) CallOuts() int { return len(p.calls) }
+// CallOuts returns the number of the RPC's call-outs so far.
+func (r *RPC) CallOuts() int { return len(r.callOuts) }
 
-// RetryHarmless tells whether a client that stops waiting while the RPC goes on may be told that a retry is harmless.
-func (p *RPC) RetryHarmless() bool { return p.leave.VerdictOnTimeout() == cancellation.Deny }
+// RetryHarmless reports whether a client that stops waiting for the RPC now may be told that a retry is harmless.
+func (r *RPC) RetryHarmless() bool { return r.cancelState.VerdictOnTimeout() == cancellation.Deny }
 
-// withdraw takes the client's wish back: the module makes no further call-out, workers hear that nobody waits.
-func (p *RPC) withdraw() {
-	e := p.e
-	if p.leave.Cancelled() {
+// cancelOutstanding has the router make no further call-out, and cancels the call-outs in flight and the load orders
+// that no other RPC needs.
+func (r *RPC) cancelOutstanding() {
+	e := r.e
+	if r.cancelState.Cancelled() {
 		return
 	}
-	p.leave.Cancel()
-	e.core.ClientLeft(e.now, p.id)
-	for n := range p.calls {
-		if c := &p.calls[n]; !c.done && c.worker.link != nil {
-			c.worker.link.CancelCallOut(CallOutID(uint64(p.id)<<8 | uint64(n)))
+	r.cancelState.Cancel()
+	e.router.ClientLeft(e.now, r.id)
+	for n := range r.callOuts {
+		if c := &r.callOuts[n]; !c.ended && c.worker.link != nil {
+			c.worker.link.CancelCallOut(CallOutID(uint64(r.id)<<8 | uint64(n)))
 		}
 	}
-	for _, id := range e.wanted.RPCClosed(nameid.Function(p.Function), true) {
+	for _, id := range e.demand.RPCClosed(nameid.Function(r.Function), true) {
 		if o := e.orders[id]; o != nil && o.worker.link != nil {
 			o.worker.link.CancelLoadOrder(id)
 		}
 	}
 }
 
-// settle gives a cancelled RPC its answer.
-func (p *RPC) settle(v cancellation.Verdict) {
-	if p.closed || v == cancellation.Wait {
+// answerCancelled answers a cancelled RPC according to v.
+func (r *RPC) answerCancelled(v cancellation.Verdict) {
+	if r.closed || v == cancellation.Wait {
 		return
 	}
-	p.close()
+	r.close()
 	if v == cancellation.Deny {
-		p.e.counts.Denied++
-		p.client.Denied(0)
+		r.e.counts.Denied++
+		r.client.Denied(0)
 	} else {
-		p.e.counts.Aborted++
-		p.client.Aborted("cancelled by its client")
+		r.e.counts.Aborted++
+		r.client.Aborted("cancelled by its client")
 	}
-	p.e.release(p)
+	r.e.release(r)
 }
 
-// timeUp ends what is out when the client's time is up: with no answer in time it may have run.
-func (p *RPC) timeUp(now router.Time) {
-	for n := range p.calls {
-		if c := &p.calls[n]; !c.done {
-			p.ended(n, router.TimedOut, router.WarmthUnknown, 0, nil, nil, nil)
+// expire ends the call-outs in flight as timed out when the client's time is over. They may have run.
+func (r *RPC) expire(now router.Time) {
+	for n := range r.callOuts {
+		if c := &r.callOuts[n]; !c.ended {
+			r.endCallOut(n, router.TimedOut, router.WarmthUnknown, 0, nil, nil, nil)
 		}
 	}
 }
 
-// CallOutOpen tells whether a call-out has not ended.
+// CallOutOpen reports whether a call-out is in flight.
 func (e *Engine) CallOutOpen(id CallOutID) bool {
-	p, n := e.rpcs[router.RPCID(id>>8)], int(id&0xff)
-	return p != nil && n < len(p.calls) && !p.calls[n].done
+	r, n := e.rpcs[router.RPCID(id>>8)], int(id&0xff)
+	return r != nil && n < len(r.callOuts) && !r.callOuts[n].ended
 }
 
-// CallOutEnded tells how a call-out ended, as the worker answered or the link saw. Result is the worker's, for OK; the
-// cause in words, else. A call-out that is unknown, over, or of another worker is passed over: it reports false.
-func (e *Engine) CallOutEnded(id CallOutID, w router.WorkerID, o router.Outcome, warmth router.Warmth, crowd int,
-	report []float64, result, blob []byte) bool {
-	p, n := e.rpcs[router.RPCID(id>>8)], int(id&0xff)
-	if p == nil || n >= len(p.calls) || p.calls[n].done || p.calls[n].worker.id != w {
+// CallOutEnded records how a call-out ended, by the worker's answer or at the link. Result is the worker's result for
+// router.OK and an error text otherwise. A call-out that is unknown, has ended, or belongs to another worker is ignored,
+// and false returned.
+func (e *Engine) CallOutEnded(id CallOutID, w router.WorkerID, outcome router.Outcome, warmth router.Warmth,
+	otherRPCs int, report []float64, result, blob []byte) bool {
+	r, n := e.rpcs[router.RPCID(id>>8)], int(id&0xff)
+	if r == nil || n >= len(r.callOuts) || r.callOuts[n].ended || r.callOuts[n].worker.id != w {
 		return false
 	}
-	p.ended(n, o, warmth, crowd, report, result, blob)
+	r.endCallOut(n, outcome, warmth, otherRPCs, report, result, blob)
 	return true
 }
 
-func (p *RPC) ended(n int, o router.Outcome, warmth router.Warmth, crowd int, report []float64, result, blob []byte) {
-	e, c := p.e, &p.calls[n]
-	c.done = true
-	p.out--
-	p.leave.CallOutEnded(o)
-	if o == router.OK && !p.closed {
-		p.close()
+func (r *RPC) endCallOut(n int, outcome router.Outcome, warmth router.Warmth, otherRPCs int, report []float64,
+	result, blob []byte) {
+	e, c := r.e, &r.callOuts[n]
+	c.ended = true
+	r.inFlight--
+	r.cancelState.CallOutEnded(outcome)
+	if outcome == router.OK && !r.closed {
+		r.close()
 		e.counts.OK++
-		p.client.OK(result, blob)
-	} else if o != router.OK && len(result) > 0 {
-		p.cause = string(result)
+		r.client.OK(result, blob)
+	} else if outcome != router.OK && len(result) > 0 {
+		r.lastCause = string(result)
 	}
-	if p.leave.Cancelled() {
-		p.settle(p.leave.Verdict())
-	} else if !p.closed && p.out == 0 {
-		p.client.HeldChanged(true)
+	if r.cancelState.Cancelled() {
+		r.answerCancelled(r.cancelState.Verdict())
+	} else if !r.closed && r.inFlight == 0 {
+		r.client.QueuedChanged(true)
 	}
-	e.core.CallOutEnded(e.now, p.id, n, c.worker.id, o, p.closed, warmth, crowd, e.now-c.at, report)
-	e.release(p)
+	e.router.CallOutEnded(e.now, r.id, n, c.worker.id, outcome, r.closed, warmth, otherRPCs, e.now-c.sentAt, report)
+	e.release(r)
 }
 
-// close marks that nothing is owed any more.
-func (p *RPC) close() {
-	if p.closed = true; !p.leave.Cancelled() {
-		p.e.wanted.RPCClosed(nameid.Function(p.Function), false)
+// close marks the RPC as answered or abandoned.
+func (r *RPC) close() {
+	if r.closed = true; !r.cancelState.Cancelled() {
+		r.e.demand.RPCClosed(nameid.Function(r.Function), false)
 	}
 }
 
-// release lets go of an RPC that nothing more can happen to.
-func (e *Engine) release(p *RPC) {
-	if p.closed && p.out == 0 {
-		e.timers.Stop(&p.deadline)
-		e.timers.Stop(&p.callOff)
-		delete(e.rpcs, p.id)
-		p.Payload, p.Blob = nil, nil
+// release drops an RPC that is closed and has no call-out in flight.
+func (e *Engine) release(r *RPC) {
+	if r.closed && r.inFlight == 0 {
+		e.timers.Stop(&r.expiryTimer)
+		e.timers.Stop(&r.cancelTimer)
+		delete(e.rpcs, r.id)
+		r.Payload, r.Blob = nil, nil
 	}
 }
 
-// SetLink names the link of a worker; nil: there is none, and call-outs there can't be connected.
+// SetLink sets the link of a worker. While it is nil, call-outs to the worker end as router.ConnectFailed.
 func (e *Engine) SetLink(name string, link Link) {
-	e.worker(name).link = link
+	e.ensureWorker(name).link = link
 }
 
-func (e *Engine) worker(name string) *worker {
+func (e *Engine) ensureWorker(name string) *worker {
 	id := nameid.Worker(name)
 	w := e.workers[id]
 	if w == nil {
@@ -476,95 +496,99 @@
 	return w
 }
 
-// BeginWorkerList, Listed and ListEnds bring the list of workers or its changes; see router.Router.
-func (e *Engine) BeginWorkerList(form router.ListUpdate, version uint64) {
-	e.lists++
-	e.whole = form == router.ListComplete
-	e.core.BeginWorkerList(e.now, form, version)
+// BeginWorkerList begins a worker list or a set of changes to it. Calls of AddListedWorker and one of EndWorkerList
+// follow; see router.Router.
+func (e *Engine) BeginWorkerList(update router.ListUpdate, version uint64) {
+	e.listCount++
+	e.listComplete = update == router.ListComplete
+	e.router.BeginWorkerList(e.now, update, version)
 }
 
-// AddListedWorker is one entry. Started 0: long ago. A name that meets another's id is refused.
+// AddListedWorker adds one entry to the current list. Started is 0 for a worker that started long ago. A name that has
+// the id of another worker's name is refused.
 func (e *Engine) AddListedWorker(name string, state router.Readiness, started router.Time, zone router.ZoneID,
 	cell router.CellID, kind router.KindID) error {
 	if w := e.workers[nameid.Worker(name)]; w != nil && w.name != name {
 		return fmt.Errorf("worker %q has the id of worker %q: rename one of them", name, w.name)
 	}
-	w := e.worker(name)
-	if w.listed = e.lists; state != router.Gone {
-		w.gone = 0
-	} else if w.gone == 0 {
-		w.gone = e.now
+	w := e.ensureWorker(name)
+	if w.lastList = e.listCount; state != router.Gone {
+		w.removedAt = 0
+	} else if w.removedAt == 0 {
+		w.removedAt = e.now
 	}
-	e.core.AddListedWorker(e.now, w.id, state, started, zone, cell, kind, 1)
+	e.router.AddListedWorker(e.now, w.id, state, started, zone, cell, kind, 1)
 	return nil
 }
 
-// EndWorkerList closes the list.
+// EndWorkerList ends the current list. Workers that a complete list does not contain are removed.
 func (e *Engine) EndWorkerList() {
-	if e.whole {
+	if e.listComplete {
 		for _, w := range e.workers {
-			if w.listed != e.lists && w.gone == 0 {
-				w.gone = e.now
+			if w.lastList != e.listCount && w.removedAt == 0 {
+				w.removedAt = e.now
 			}
 		}
 	}
-	e.core.EndWorkerList(e.now)
+	e.router.EndWorkerList(e.now)
 }
 
-// ConfirmWorkerList tells that the list was whole and true at a time; see router.Router.
-func (e *Engine) ConfirmWorkerList(asOf router.Time) { e.core.ConfirmWorkerList(e.now, asOf) }
+// ConfirmWorkerList records that the worker list was complete and correct at the time asOf; see router.Router.
+func (e *Engine) ConfirmWorkerList(asOf router.Time) { e.router.ConfirmWorkerList(e.now, asOf) }
 
-// LoadOrderEnded answers a load order; one that is unknown or over is passed over.
-func (e *Engine) LoadOrderEnded(id OrderID, o router.Outcome, copies int) {
-	if or := e.orders[id]; or != nil {
+// LoadOrderEnded records how a load order ended. An order that is unknown or has ended is ignored.
+func (e *Engine) LoadOrderEnded(id OrderID, outcome router.Outcome, copies int) {
+	if o := e.orders[id]; o != nil {
 		delete(e.orders, id)
-		e.wanted.OrderEnded(or.fn, id)
-		e.timers.Stop(&or.timeOut)
-		e.core.LoadOrderEnded(e.now, or.worker.id, or.fn, o, copies, e.now-or.at)
+		e.demand.OrderEnded(o.fn, id)
+		e.timers.Stop(&o.timeout)
+		e.router.LoadOrderEnded(e.now, o.worker.id, o.fn, outcome, copies, e.now-o.sentAt)
 	}
 }
 
-// CheckEnded answers a check; one that is unknown or over is passed over.
-func (e *Engine) CheckEnded(id CheckID, o router.Outcome, report []float64) {
+// CheckEnded records how a check ended. A check that is unknown or has ended is ignored.
+func (e *Engine) CheckEnded(id CheckID, outcome router.Outcome, report []float64) {
 	if c := e.checks[id]; c != nil {
 		delete(e.checks, id)
-		e.timers.Stop(&c.timeOut)
-		e.core.CheckEnded(e.now, c.worker.id, o, e.now-c.at, report)
+		e.timers.Stop(&c.timeout)
+		e.router.CheckEnded(e.now, c.worker.id, outcome, e.now-c.sentAt, report)
 	}
 }
 
-// port carries out what the module decides.
-type port Engine
+// actions carries out the router's decisions.
+type actions Engine
 
-// Send implements router.Port.
-func (pt *port) Send(rpc router.RPCID, w router.WorkerID, limit, by router.Time) {
-	e, p := (*Engine)(pt), pt.rpcs[rpc]
-	if p == nil { // the module's own fault; the RPC is over
+// Send implements router.Actions.
+func (a *actions) Send(rpc router.RPCID, w router.WorkerID, limit, sendBy router.Time) {
+	e, r := (*Engine)(a), a.rpcs[rpc]
+	if r == nil { // a fault of the router: the RPC has ended
 		return
 	}
-	n, wk := len(p.calls), e.workers[w]
-	p.calls = append(p.calls, callOut{worker: wk, at: e.now})
-	p.leave.CallOutSent()
-	if p.out++; p.out == 1 && !p.closed {
-		p.client.HeldChanged(false)
+	n, wk := len(r.callOuts), e.workers[w]
+	r.callOuts = append(r.callOuts, callOut{worker: wk, sentAt: e.now})
+	r.cancelState.CallOutSent()
+	if r.inFlight++; r.inFlight == 1 && !r.closed {
+		r.client.QueuedChanged(false)
 	}
-	moot := p.closed || e.now >= p.end || n >= e.most || p.out > 1 && !e.overlap
+	notSent := r.closed || e.now >= r.expiresAt || n >= e.maxCallOuts || r.inFlight > 1 && !e.overlap
 	id := CallOutID(uint64(rpc)<<8 | uint64(n))
 	switch {
-	case moot:
-		e.later = append(e.later, func() { e.CallOutEnded(id, w, router.NotSent, router.WarmthUnknown, 0, nil, nil, nil) })
+	case notSent:
+		e.deferred = append(e.deferred, func() {
+			e.CallOutEnded(id, w, router.NotSent, router.WarmthUnknown, 0, nil, nil, nil)
+		})
 	case wk.link == nil:
-		e.later = append(e.later, func() {
+		e.deferred = append(e.deferred, func() {
 			e.CallOutEnded(id, w, router.ConnectFailed, router.WarmthUnknown, 0, nil, []byte("no link to "+wk.name), nil)
 		})
 	default:
 		e.counts.CallOuts++
-		left := p.end - e.now
-		if limit > 0 { // the link gives up by itself then
+		left := r.expiresAt - e.now
+		if limit > 0 { // the link then times out by itself
 			left = min(left, limit)
 		}
-		wk.link.Send(id, p, left, by)
-		if limit > 0 && e.now+limit < p.end {
+		wk.link.Send(id, r, left, sendBy)
+		if limit > 0 && e.now+limit < r.expiresAt {
 			e.timers.Set(new(eventloop.Timer), e.now+limit, func(router.Time) {
 				e.CallOutEnded(id, w, router.TimedOut, router.WarmthUnknown, 0, nil, nil, nil)
 			})
@@ -572,95 +596,97 @@
 	}
 }
 
-// Deny implements router.Port.
-func (pt *port) Deny(rpc router.RPCID, comeBack router.Time, why router.Reason) {
-	if p := pt.rpcs[rpc]; p != nil && !p.closed {
-		pt.givenUp(p, why)
-		p.close()
-		pt.counts.Denied++
-		p.client.Denied(comeBack)
-		pt.core.Release(rpc)
-		(*Engine)(pt).release(p)
+// Deny implements router.Actions.
+func (a *actions) Deny(rpc router.RPCID, retryAfter router.Time, why router.Reason) {
+	if r := a.rpcs[rpc]; r != nil && !r.closed {
+		a.onGiveUp(r, why)
+		r.close()
+		a.counts.Denied++
+		r.client.Denied(retryAfter)
+		a.router.Release(rpc)
+		(*Engine)(a).release(r)
 	}
 }
 
-// Abort implements router.Port.
-func (pt *port) Abort(rpc router.RPCID, why router.Reason) {
-	if p := pt.rpcs[rpc]; p != nil && !p.closed {
-		pt.givenUp(p, why)
-		p.close()
-		pt.counts.Aborted++
-		p.client.Aborted(p.cause)
-		pt.core.Release(rpc)
-		(*Engine)(pt).release(p)
+// Abort implements router.Actions.
+func (a *actions) Abort(rpc router.RPCID, why router.Reason) {
+	if r := a.rpcs[rpc]; r != nil && !r.closed {
+		a.onGiveUp(r, why)
+		r.close()
+		a.counts.Aborted++
+		r.client.Aborted(r.lastCause)
+		a.router.Release(rpc)
+		(*Engine)(a).release(r)
 	}
 }
 
-// CancelCallOut implements router.Port.
-func (pt *port) CancelCallOut(rpc router.RPCID, n int) {
-	e, p := (*Engine)(pt), pt.rpcs[rpc]
-	if p == nil || n >= len(p.calls) || p.calls[n].done {
+// CancelCallOut implements router.Actions.
+func (a *actions) CancelCallOut(rpc router.RPCID, n int) {
+	e, r := (*Engine)(a), a.rpcs[rpc]
+	if r == nil || n >= len(r.callOuts) || r.callOuts[n].ended {
 		return
 	}
-	c, id := &p.calls[n], CallOutID(uint64(rpc)<<8|uint64(n))
+	c, id := &r.callOuts[n], CallOutID(uint64(rpc)<<8|uint64(n))
 	if c.worker.link != nil {
 		c.worker.link.CancelCallOut(id)
 	}
 	w := c.worker.id
-	e.later = append(e.later, func() { e.CallOutEnded(id, w, router.Cancelled, router.WarmthUnknown, 0, nil, nil, nil) })
+	e.deferred = append(e.deferred, func() {
+		e.CallOutEnded(id, w, router.Cancelled, router.WarmthUnknown, 0, nil, nil, nil)
+	})
 }
 
-// SetTimer implements router.Port.
-func (pt *port) SetTimer(after router.Time, token uint64) {
-	e := (*Engine)(pt)
-	// never in the turn that asks for it
-	e.timers.Set(new(eventloop.Timer), e.now+max(after, 1), func(now router.Time) { e.core.TimerFired(now, token) })
+// SetTimer implements router.Actions.
+func (a *actions) SetTimer(after router.Time, token uint64) {
+	e := (*Engine)(a)
+	// A timer never fires in the turn that sets it.
+	e.timers.Set(new(eventloop.Timer), e.now+max(after, 1), func(now router.Time) { e.router.TimerFired(now, token) })
 }
 
-// Check implements router.Port.
-func (pt *port) Check(w router.WorkerID) {
-	e, wk := (*Engine)(pt), pt.workers[w]
+// Check implements router.Actions.
+func (a *actions) Check(w router.WorkerID) {
+	e, wk := (*Engine)(a), a.workers[w]
 	e.lastID++
 	id := CheckID(e.lastID)
-	c := &check{worker: wk, at: e.now}
+	c := &check{worker: wk, sentAt: e.now}
 	e.checks[id] = c
 	e.counts.Checks++
 	if wk.link == nil {
-		e.later = append(e.later, func() { e.CheckEnded(id, router.ConnectFailed, nil) })
+		e.deferred = append(e.deferred, func() { e.CheckEnded(id, router.ConnectFailed, nil) })
 		return
 	}
-	e.timers.Set(&c.timeOut, e.now+e.orderBy, func(router.Time) { e.CheckEnded(id, router.TimedOut, nil) })
+	e.timers.Set(&c.timeout, e.now+e.orderTimeout, func(router.Time) { e.CheckEnded(id, router.TimedOut, nil) })
 	wk.link.Check(id)
 }
 
-// OrderLoad implements router.Port.
-func (pt *port) OrderLoad(w router.WorkerID, fn router.FunctionID, n int, by router.Time) {
-	e, wk := (*Engine)(pt), pt.workers[w]
+// OrderLoad implements router.Actions.
+func (a *actions) OrderLoad(w router.WorkerID, fn router.FunctionID, n int, sendBy router.Time) {
+	e, wk := (*Engine)(a), a.workers[w]
 	e.lastID++
 	id := OrderID(e.lastID)
-	o := &order{worker: wk, fn: fn, at: e.now}
+	o := &order{worker: wk, fn: fn, sentAt: e.now}
 	e.orders[id] = o
 	if n > 0 {
 		e.counts.Orders++
-		e.wanted.OrderSent(fn, id)
+		e.demand.OrderSent(fn, id)
 	}
 	if wk.link == nil {
-		e.later = append(e.later, func() { e.LoadOrderEnded(id, router.ConnectFailed, 0) })
+		e.deferred = append(e.deferred, func() { e.LoadOrderEnded(id, router.ConnectFailed, 0) })
 		return
 	}
-	e.timers.Set(&o.timeOut, e.now+e.orderBy, func(router.Time) { e.LoadOrderEnded(id, router.TimedOut, 0) })
-	f := e.names[fn]
-	f.used = e.now
-	e.names[fn] = f
-	wk.link.OrderLoad(id, f.name, f.fn, n, by)
+	e.timers.Set(&o.timeout, e.now+e.orderTimeout, func(router.Time) { e.LoadOrderEnded(id, router.TimedOut, 0) })
+	f := e.functions[fn]
+	f.lastUsed = e.now
+	e.functions[fn] = f
+	wk.link.OrderLoad(id, f.name, f.spec, n, sendBy)
 }
 
-// SubscribeWorkers implements router.Port.
-func (pt *port) SubscribeWorkers() {
-	if pt.listen != nil {
-		pt.listen()
+// SubscribeWorkers implements router.Actions.
+func (a *actions) SubscribeWorkers() {
+	if a.subscribe != nil {
+		a.subscribe()
 	}
 }
 
-// Log implements router.Port.
-func (pt *port) Log(text string) { pt.log(text) }
+// Log implements router.Actions.
+func (a *actions) Log(text string) { a.log(text) }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -11,121 +11,122 @@
 	"mallowlanding/router"
 )
 
-// script is a module that sends each RPC to one worker and notes what it is told.
-type script struct {
-	port  router.Actions
-	ended []router.Outcome
+// scriptedRouter is a router that sends each RPC to the worker with id 1 and records the outcomes of call-outs.
+type scriptedRouter struct {
+	actions  router.Actions
+	outcomes []router.Outcome
 }
 
-// handle is an RPC of it: whatever ends, nothing follows.
-type handle struct {
-	m    *script
-	over bool
+// scriptedRPC is an RPC at a scriptedRouter. It makes no further call-out, however the first one ends.
+type scriptedRPC struct {
+	router   *scriptedRouter
+	finished bool
 }
 
-// Submit implements core.Module.
-func (m *script) Submit(_ router.Time, id router.RPCID, _ router.MethodID, _ router.CustomerID, _ router.FunctionID,
+// Submit implements routing.Router.
+func (m *scriptedRouter) Submit(_ router.Time, id router.RPCID, _ router.MethodID, _ router.CustomerID, _ router.FunctionID,
 	_ router.Time, _, _ float64, _ int, _ router.Time, _ bool) routing.Handle {
-	m.port.Send(id, 1, 0, math.MaxInt64)
-	return &handle{m: m}
+	m.actions.Send(id, 1, 0, math.MaxInt64)
+	return &scriptedRPC{router: m}
 }
 
-// CallOutEnded implements core.Handle.
-func (h *handle) CallOutEnded(_ router.Time, _ int, _ router.WorkerID, o router.Outcome, closed bool, _ router.Warmth, _ int,
+// CallOutEnded implements routing.Handle.
+func (h *scriptedRPC) CallOutEnded(_ router.Time, _ int, _ router.WorkerID, o router.Outcome, closed bool, _ router.Warmth, _ int,
 	_ router.Time, _ []float64) {
-	h.m.ended = append(h.m.ended, o)
-	h.over = closed
+	h.router.outcomes = append(h.router.outcomes, o)
+	h.finished = closed
 }
 
-// ClientLeft implements core.Handle.
-func (h *handle) ClientLeft(router.Time) { h.over = true }
+// ClientLeft implements routing.Handle.
+func (h *scriptedRPC) ClientLeft(router.Time) { h.finished = true }
 
-// Finished implements core.Handle.
-func (h *handle) Finished() bool { return h.over }
+// Finished implements routing.Handle.
+func (h *scriptedRPC) Finished() bool { return h.finished }
 
-// The rest of core.Module does nothing.
-func (m *script) BeginWorkerList(router.Time, router.ListUpdate, uint64) {}
+// BeginWorkerList implements routing.Router. This method and those below do nothing.
+func (m *scriptedRouter) BeginWorkerList(router.Time, router.ListUpdate, uint64) {}
 
-// AddListedWorker implements core.Module.
-func (m *script) AddListedWorker(router.Time, router.WorkerID, router.Readiness, router.Time, router.ZoneID, router.CellID,
+// AddListedWorker implements routing.Router.
+func (m *scriptedRouter) AddListedWorker(router.Time, router.WorkerID, router.Readiness, router.Time, router.ZoneID, router.CellID,
 	router.KindID, float64) {
 }
 
-// EndWorkerList implements core.Module.
-func (m *script) EndWorkerList(router.Time)        {}
-func (*script) ConfirmWorkerList(_, _ router.Time) {}
+// EndWorkerList implements routing.Router.
+func (m *scriptedRouter) EndWorkerList(router.Time)        {}
+func (*scriptedRouter) ConfirmWorkerList(_, _ router.Time) {}
 
-// LoadOrderEnded implements core.Module.
-func (m *script) LoadOrderEnded(router.Time, router.WorkerID, router.FunctionID, router.Outcome, int, router.Time) {
+// LoadOrderEnded implements routing.Router.
+func (m *scriptedRouter) LoadOrderEnded(router.Time, router.WorkerID, router.FunctionID, router.Outcome, int, router.Time) {
 }
 
-// CheckEnded implements core.Module.
-func (m *script) CheckEnded(router.Time, router.WorkerID, router.Outcome, router.Time, []float64) {}
+// CheckEnded implements routing.Router.
+func (m *scriptedRouter) CheckEnded(router.Time, router.WorkerID, router.Outcome, router.Time, []float64) {
+}
 
-// TimerFired implements core.Module.
-func (m *script) TimerFired(router.Time, uint64) {}
+// TimerFired implements routing.Router.
+func (m *scriptedRouter) TimerFired(router.Time, uint64) {}
 
-// UpdateSettings implements core.Module.
-func (m *script) UpdateSettings(router.Time, router.ParsedSettings) {}
+// UpdateSettings implements routing.Router.
+func (m *scriptedRouter) UpdateSettings(router.Time, router.ParsedSettings) {}
 
-// LoadsHalted implements core.Module.
-func (m *script) LoadsHalted(router.FunctionID) bool { return false }
+// LoadsHalted implements routing.Router.
+func (m *scriptedRouter) LoadsHalted(router.FunctionID) bool { return false }
 
-// Dispatch implements core.Module.
-func (m *script) Dispatch(router.Time) {}
+// Dispatch implements routing.Router.
+func (m *scriptedRouter) Dispatch(router.Time) {}
 
-// notes are what a client, or a link, was told.
-type notes []string
+// recorder is a Client and a Link that records its calls as text.
+type recorder []string
 
 // OK implements Client.
-func (n *notes) OK(result, _ []byte) { *n = append(*n, "ok "+string(result)) }
+func (n *recorder) OK(result, _ []byte) { *n = append(*n, "ok "+string(result)) }
 
 // Denied implements Client.
-func (n *notes) Denied(router.Time) { *n = append(*n, "denied") }
+func (n *recorder) Denied(router.Time) { *n = append(*n, "denied") }
 
 // Aborted implements Client.
-func (n *notes) Aborted(string) { *n = append(*n, "aborted") }
+func (n *recorder) Aborted(string) { *n = append(*n, "aborted") }
 
-// HeldChanged implements Client.
-func (n *notes) HeldChanged(bool) {}
+// QueuedChanged implements Client.
+func (n *recorder) QueuedChanged(bool) {}
 
 // Send implements Link.
-func (n *notes) Send(id CallOutID, _ *RPC, _, _ router.Time) {
+func (n *recorder) Send(id CallOutID, _ *RPC, _, _ router.Time) {
 	*n = append(*n, fmt.Sprint("send ", id))
 }
 
 // CancelCallOut implements Link.
-func (n *notes) CancelCallOut(id CallOutID) { *n = append(*n, fmt.Sprint("call off ", id)) }
+func (n *recorder) CancelCallOut(id CallOutID) { *n = append(*n, fmt.Sprint("call off ", id)) }
 
 // CancelLoadOrder implements Link.
-func (n *notes) CancelLoadOrder(OrderID) {}
+func (n *recorder) CancelLoadOrder(OrderID) {}
 
 // OrderLoad implements Link.
-func (n *notes) OrderLoad(OrderID, string, FunctionSpec, int, router.Time) {}
+func (n *recorder) OrderLoad(OrderID, string, FunctionSpec, int, router.Time) {}
 
 // Check implements Link.
-func (n *notes) Check(CheckID) {}
+func (n *recorder) Check(CheckID) {}
 
-// rig is an engine with one worker, whose module sends all there.
-func rig(now router.Time) (e *Engine, m *script, link *notes) {
-	m, link = &script{}, &notes{}
+// newTestEngine returns an engine with a scriptedRouter and the one worker it sends to.
+func newTestEngine(now router.Time) (e *Engine, m *scriptedRouter, link *recorder) {
+	m, link = &scriptedRouter{}, &recorder{}
 	e = New(Options{Settings: router.Settings{"may.call-outs": 3., "may.overlap": true}, Now: now, Log: func(string) {},
 		NewRouter: func(port router.Actions, _ router.Time, _ int64, _ router.Settings) routing.Router {
-			m.port = port
+			m.actions = port
 			return m
 		}})
-	w := e.worker("w")
+	w := e.ensureWorker("w")
 	delete(e.workers, w.id)
 	w.id, w.link = 1, link
 	e.workers[1] = w
 	return e, m, link
 }
 
-// TestAnswerAll: each RPC that is open gets its one answer, denied only where a retry is harmless, what is out is called
-// off, and nothing that ends later is told.
+// TestAnswerAll checks that each open RPC gets exactly one answer, denied only where a retry is harmless, that call-outs
+// in flight are cancelled, and that results arriving later are not passed on.
 func TestAnswerAll(t *testing.T) {
-	e, _, link := rig(1000)
-	var got [3]notes
+	e, _, link := newTestEngine(1000)
+	var got [3]recorder
 	for i, effect := range []string{router.Idempotent, router.SideEffecting, router.Tokened} {
 		m := &Method{Name: effect, Effect: effect, Group: "zone", Deadline: 1000}
 		e.Submit(router.MethodID(i), m, 0, "f", FunctionSpec{}, "", 500, false, nil, nil, &got[i])
@@ -142,69 +143,72 @@
 			t.Errorf("RPC %d: %v, want %s", i, got[i], want)
 		}
 	}
-	if want := (notes{"send 256", "send 512", "send 768", "call off 256", "call off 512", "call off 768"}); !slices.Equal(*link, want) {
-		t.Errorf("the link was told %v", *link)
+	if want := (recorder{"send 256", "send 512", "send 768", "call off 256", "call off 512", "call off 768"}); !slices.Equal(*link, want) {
+		t.Errorf("unexpected calls of the link: %v", *link)
 	}
 	if n := e.Counts().Open; n != 0 || len(e.rpcs) != 0 {
-		t.Errorf("%d are open, %d are kept", n, len(e.rpcs))
+		t.Errorf("%d RPCs are open, %d are still stored, want 0, 0", n, len(e.rpcs))
 	}
 }
 
-// TestAnswerAgainstTimeOut: an answer and the end of the RPC's time in one turn, in either order, are one end.
-func TestAnswerAgainstTimeOut(t *testing.T) {
+// TestAnswerAndTimeoutInOneTurn checks that a call-out ends once if its answer and the end of the RPC's time fall into
+// the same turn, in either order.
+func TestAnswerAndTimeoutInOneTurn(t *testing.T) {
 	for _, answerFirst := range []bool{true, false} {
-		e, m, _ := rig(1000)
-		var got notes
+		e, m, _ := newTestEngine(1000)
+		var got recorder
 		p := e.Submit(0, &Method{Name: "m", Effect: router.SideEffecting, Deadline: 1000}, 0, "f", FunctionSpec{}, "", 500, false, nil, nil, &got)
 		id := CallOutID(uint64(p.id) << 8)
-		e.BeginTurn(p.end)
+		e.BeginTurn(p.expiresAt)
 		answer := func() bool {
 			return e.CallOutEnded(id, 1, router.OK, router.AlreadyWarm, 0, nil, []byte("a"), nil)
 		}
 		if answerFirst {
 			if !answer() {
-				t.Error("the answer was passed over")
+				t.Error("the answer was ignored")
 			}
 		}
 		e.EndTurn()
 		if !answerFirst && answer() {
-			t.Error("an answer counts after the time-out")
+			t.Error("an answer after the timeout was accepted")
 		}
 		want := []router.Outcome{router.TimedOut}
 		if answerFirst {
 			want = []router.Outcome{router.OK}
 		}
-		if !slices.Equal(m.ended, want) || answerFirst != slices.Equal(got, notes{"ok a"}) {
-			t.Errorf("answer first %t: the module was told %v, the client %v", answerFirst, m.ended, got)
+		if !slices.Equal(m.outcomes, want) || answerFirst != slices.Equal(got, recorder{"ok a"}) {
+			t.Errorf("answer first %t: the router got %v, the client %v", answerFirst, m.outcomes, got)
 		}
 	}
 }
 
-// TestLeftAgainstSend: nothing of an RPC whose client has left goes out, though the module had decided it.
-func TestLeftAgainstSend(t *testing.T) {
-	e, m, link := rig(1000)
-	var got notes
+// TestNothingSentAfterClientLeft checks that no call-out of an RPC is sent once its client has left, even if the router
+// asks for one.
+func TestNothingSentAfterClientLeft(t *testing.T) {
+	e, m, link := newTestEngine(1000)
+	var got recorder
 	p := e.Submit(0, &Method{Name: "m", Effect: router.Idempotent, Deadline: 1000}, 0, "f", FunctionSpec{}, "", 500, false, nil, nil, &got)
 	p.ClientLeft()
-	m.port.Send(p.id, 1, 0, math.MaxInt64)
+	m.actions.Send(p.id, 1, 0, math.MaxInt64)
 	e.BeginTurn(1001)
 	e.EndTurn()
-	if want := (notes{"send 256", "call off 256"}); !slices.Equal(*link, want) || len(got) > 0 {
-		t.Errorf("the link was told %v, the client %v", *link, got)
+	if want := (recorder{"send 256", "call off 256"}); !slices.Equal(*link, want) || len(got) > 0 {
+		t.Errorf("calls of the link: %v; calls of the client: %v, want none", *link, got)
 	}
 }
 
-// TestForgets: names of functions, and workers that are gone, are kept while something is out, and for a while.
-func TestForgets(t *testing.T) {
-	e, _, _ := rig(1000)
-	var got notes
+// TestPruneKeepsEntriesInUse checks that functions and removed workers are kept for the retention time, and functions
+// for as long as an RPC refers to them.
+func TestPruneKeepsEntriesInUse(t *testing.T) {
+	e, _, _ := newTestEngine(1000)
+	var got recorder
 	m := &Method{Name: "m", Effect: router.Idempotent, Deadline: 1000}
 	f := e.Submit(0, m, 0, "f", FunctionSpec{}, "", 500, false, nil, nil, &got)
 	f.ClientLeft()
 	e.CallOutEnded(CallOutID(uint64(f.id)<<8), 1, router.Cancelled, router.WarmthUnknown, 0, nil, nil, nil)
 	e.Submit(0, m, 0, "g", FunctionSpec{}, "", router.Time(1e9), false, nil, nil, &got)
-	list := func(form router.ListUpdate, state router.Readiness, names ...string) {
-		e.BeginWorkerList(form, 1)
+	list := func(update router.ListUpdate, state router.Readiness, names ...string) {
+		e.BeginWorkerList(update, 1)
 		for _, name := range names {
 			if err := e.AddListedWorker(name, state, 0, 0, 0, 0); err != nil {
 				t.Fatal(err)
@@ -216,32 +220,32 @@
 	list(router.ListChanges, router.Gone, "a", "d")
 	list(router.ListComplete, router.Ready, "c", "d")
 	for _, c := range []struct {
-		at             router.Time
+		now            router.Time
 		names, workers int
-	}{{1000 + forgetAfter - 1, 2, 5}, {1000 + forgetAfter + forgetLook, 1, 2}} {
-		e.BeginTurn(c.at)
+	}{{1000 + retention - 1, 2, 5}, {1000 + retention + pruneInterval, 1, 2}} {
+		e.BeginTurn(c.now)
 		e.EndTurn()
-		if len(e.names) != c.names || len(e.workers) != c.workers { // the rig's own worker is not in the whole list
-			t.Errorf("at %d: %d names, %d workers, want %d, %d", c.at, len(e.names), len(e.workers), c.names, c.workers)
+		if len(e.functions) != c.names || len(e.workers) != c.workers { // newTestEngine's own worker is in no list
+			t.Errorf("at %d: %d functions, %d workers, want %d, %d", c.now, len(e.functions), len(e.workers), c.names, c.workers)
 		}
 	}
 }
 
-// TestGivenUpTellsWhy: who runs a front end sees which bound held an RPC that is refused.
-func TestGivenUpTellsWhy(t *testing.T) {
-	told := []router.Reason{}
-	e := New(Options{Now: 1e6, Log: func(string) {}, OnGiveUp: func(_ *RPC, why router.Reason) { told = append(told, why) },
+// TestOnGiveUpReportsReason checks that OnGiveUp gets the reason for which the router denied an RPC.
+func TestOnGiveUpReportsReason(t *testing.T) {
+	reasons := []router.Reason{}
+	e := New(Options{Now: 1e6, Log: func(string) {}, OnGiveUp: func(_ *RPC, why router.Reason) { reasons = append(reasons, why) },
 		Settings: router.Settings{settingkeys.Methods: 1.0, settingkeys.Item(settingkeys.Methods, 0, settingkeys.Effect): router.Idempotent,
 			settingkeys.Join(settingkeys.May, settingkeys.CallOuts): 3.0}})
 	now := router.Time(1e6)
 	e.BeginTurn(now)
-	p := e.Submit(0, &Method{Name: "m", Effect: router.Idempotent, Deadline: 30000}, 0, "f", FunctionSpec{Lanes: 1}, "", 30000, false, nil, nil, idle{})
+	p := e.Submit(0, &Method{Name: "m", Effect: router.Idempotent, Deadline: 30000}, 0, "f", FunctionSpec{Lanes: 1}, "", 30000, false, nil, nil, ignoringClient{})
 	e.EndTurn()
 	for end := now + 30000; now < end && e.Counts().Open > 0; now += 100 {
 		e.BeginTurn(now)
 		e.EndTurn()
 	}
-	if len(told) != 1 || told[0] != router.NotReady || p.CallOuts() != 0 {
-		t.Errorf("told %v after %d call-outs", told, p.CallOuts())
+	if len(reasons) != 1 || reasons[0] != router.NotReady || p.CallOuts() != 0 {
+		t.Errorf("got reasons %v after %d call-outs, want only not-ready after 0", reasons, p.CallOuts())
 	}
 }
