--- a/internal/eventloop/turn.go
+++ b/internal/eventloop/turn.go
@@ -1,8 +1,8 @@
-// Package eventloop gives state machines their turns: timers without a clock of their own, and a loop that hands one
-// goroutine all that came in since its last turn.
+// Package eventloop provides an event loop and timers for state machines. Loop runs all events of a state machine on one
+// goroutine, in turns: one turn handles every event that arrived since the last one.
 //
-// A state machine that takes its time from Timers runs under any clock: Loop drives it by the real one, a
-// simulation by its own.
+// Timers has no clock of its own, so that the same state machine runs on the real clock, driven by Loop, and on the
+// clock of a simulation.
 package eventloop
 
 import (
@@ -15,52 +15,53 @@
 	"mallowlanding/router"
 )
 
-// Unit is the module's unit of time.
+// Unit is the unit of router.Time.
 const Unit = 100 * time.Microsecond
 
-// epoch is where the loops' clocks begin: late enough that what started long before the process has a time above 0.
-const epoch = router.Time(1e10)
+// startTime is the reading of a loop's clock at its start. It is large enough that events long before the start of the
+// process have a time above 0.
+const startTime = router.Time(1e10)
 
-// FromDuration turns a duration into the module's units, cut to whole ones.
+// FromDuration converts a duration to router.Time, rounded towards zero.
 func FromDuration(d time.Duration) router.Time { return router.Time(d / Unit) }
 
-// ToDuration is the inverse of Span.
+// ToDuration is the inverse of FromDuration.
 func ToDuration(t router.Time) time.Duration { return time.Duration(t) * Unit }
 
-// Timer is one thing to do at a time. The zero value is not set.
+// Timer calls a function at a given time. The zero value is a timer that is not set.
 type Timer struct {
-	due   router.Time
-	order uint64
-	at    int // place in the heap + 1; 0: not set
-	do    func(now router.Time)
+	due     router.Time
+	seq     uint64
+	heapPos int // index in the heap + 1; 0: not set
+	run     func(now router.Time)
 }
 
-// Timers hold what is due when. Of those due at one time the first set comes first.
+// Timers is a set of timers. Timers due at the same time fire in the order in which they were set.
 type Timers struct {
-	heap  timerHeap
-	order uint64
+	heap    timerHeap
+	lastSeq uint64
 }
 
-// Set has do done at due; a timer already set is moved.
-func (ts *Timers) Set(t *Timer, due router.Time, do func(now router.Time)) {
-	ts.order++
-	t.due, t.order, t.do = due, ts.order, do
-	if t.at > 0 {
-		heap.Fix(&ts.heap, t.at-1)
+// Set has run called at the time due. A timer that is already set is changed.
+func (ts *Timers) Set(t *Timer, due router.Time, run func(now router.Time)) {
+	ts.lastSeq++
+	t.due, t.seq, t.run = due, ts.lastSeq, run
+	if t.heapPos > 0 {
+		heap.Fix(&ts.heap, t.heapPos-1)
 		return
 	}
 	heap.Push(&ts.heap, t)
 }
 
-// Stop takes a timer back; one that is not set is left alone.
+// Stop unsets a timer. It does nothing if the timer is not set.
 func (ts *Timers) Stop(t *Timer) {
-	if t.at > 0 {
-		heap.Remove(&ts.heap, t.at-1)
-		t.do = nil
+	if t.heapPos > 0 {
+		heap.Remove(&ts.heap, t.heapPos-1)
+		t.run = nil
 	}
 }
 
-// NextDue tells when the next timer is due.
+// NextDue returns when the next timer is due; false: no timer is set.
 func (ts *Timers) NextDue() (router.Time, bool) {
 	if len(ts.heap) == 0 {
 		return 0, false
@@ -68,78 +69,79 @@
 	return ts.heap[0].due, true
 }
 
-// Fire does all that is due by now, and what that makes due at once.
+// Fire calls the functions of all timers due by now, including timers that those calls set for now or earlier.
 func (ts *Timers) Fire(now router.Time) {
 	for len(ts.heap) > 0 && ts.heap[0].due <= now {
 		t := heap.Pop(&ts.heap).(*Timer)
-		do := t.do
-		t.do = nil
-		do(now)
+		run := t.run
+		t.run = nil
+		run(now)
 	}
 }
 
+// timerHeap implements heap.Interface, ordered by due time, then by the order of setting.
 type timerHeap []*Timer
 
 func (h timerHeap) Len() int { return len(h) }
 func (h timerHeap) Less(i, j int) bool {
-	return h[i].due < h[j].due || h[i].due == h[j].due && h[i].order < h[j].order
+	return h[i].due < h[j].due || h[i].due == h[j].due && h[i].seq < h[j].seq
 }
 func (h timerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].at, h[j].at = i+1, j+1
+	h[i].heapPos, h[j].heapPos = i+1, j+1
 }
 func (h *timerHeap) Push(x any) {
 	t := x.(*Timer)
 	*h = append(*h, t)
-	t.at = len(*h)
+	t.heapPos = len(*h)
 }
 func (h *timerHeap) Pop() any {
 	old := *h
 	t := old[len(old)-1]
 	old[len(old)-1] = nil
-	*h, t.at = old[:len(old)-1], 0
+	*h, t.heapPos = old[:len(old)-1], 0
 	return t
 }
 
-// Handler is what a loop drives. All of its methods are called from the loop's goroutine alone.
+// Handler is a state machine driven by a Loop. All its methods are called on the loop's goroutine.
 type Handler interface {
-	BeginTurn(now router.Time)    // a turn begins; the events that came follow
-	EndTurn()                     // they have all come; timers that are due come in here
-	NextDue() (router.Time, bool) // when the machine wants a turn though nothing comes
+	BeginTurn(now router.Time)    // begins a turn; the events follow
+	EndTurn()                     // ends a turn after its events; runs the timers that are due
+	NextDue() (router.Time, bool) // when a turn is needed even if no event arrives; false: never
 }
 
-// Loop gives a machine its turns by the real clock.
+// Loop runs the turns of a Handler by the real clock.
 type Loop struct {
-	start time.Time
-	mu    sync.Mutex
-	queue []func()
-	over  bool
-	wake  chan struct{}
-	pace  atomic.Int64 // ns
+	start       time.Time
+	mu          sync.Mutex
+	queue       []func()
+	stopped     bool
+	wake        chan struct{}
+	minInterval atomic.Int64 // ns
 }
 
-// NewLoop starts the loop's clock.
+// NewLoop makes a loop and starts its clock.
 func NewLoop() *Loop { return &Loop{start: time.Now(), wake: make(chan struct{}, 1)} }
 
-// SetMinInterval has turns begin so far apart at the least: under load each turn then brings more events, and what a turn costs
-// by itself is paid less often. Any goroutine may call it.
-func (l *Loop) SetMinInterval(d time.Duration) { l.pace.Store(int64(d)) }
+// SetMinInterval sets the least time between the starts of two turns. Under load each turn then handles more events, so
+// that the fixed cost of a turn is paid less often. Any goroutine may call it.
+func (l *Loop) SetMinInterval(d time.Duration) { l.minInterval.Store(int64(d)) }
 
-// Now reads the loop's clock; any goroutine may.
-func (l *Loop) Now() router.Time { return epoch + FromDuration(time.Since(l.start)) }
+// Now reads the loop's clock. Any goroutine may call it.
+func (l *Loop) Now() router.Time { return startTime + FromDuration(time.Since(l.start)) }
 
-// Post has f done in the next turn, from any goroutine, without waiting. It reports false where the loop is over
-// and f will never be done.
+// Post has f called in the next turn. It does not block, and any goroutine may call it. It returns false if the loop has
+// ended and f will never be called.
 func (l *Loop) Post(f func()) bool {
 	l.mu.Lock()
-	if l.over {
+	if l.stopped {
 		l.mu.Unlock()
 		return false
 	}
 	l.queue = append(l.queue, f)
-	first := len(l.queue) == 1
+	wasEmpty := len(l.queue) == 1
 	l.mu.Unlock()
-	if first {
+	if wasEmpty {
 		select {
 		case l.wake <- struct{}{}:
 		default:
@@ -148,36 +150,36 @@
 	return true
 }
 
-// Run drives m until the context ends. What was posted before that is still done.
-func (l *Loop) Run(ctx context.Context, m Handler) {
+// Run runs h until the context is done. Events posted before then are still handled.
+func (l *Loop) Run(ctx context.Context, h Handler) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	var spare []func()
-	var last time.Time
+	var reusable []func()
+	var lastTurn time.Time
 	for {
-		if wait := time.Duration(l.pace.Load()) - time.Since(last); wait > 0 && !last.IsZero() {
+		if wait := time.Duration(l.minInterval.Load()) - time.Since(lastTurn); wait > 0 && !lastTurn.IsZero() {
 			time.Sleep(wait)
 		}
-		last = time.Now()
+		lastTurn = time.Now()
 		l.mu.Lock()
-		batch := l.queue
-		l.queue = spare[:0]
-		over := ctx.Err() != nil
-		l.over = over
+		events := l.queue
+		l.queue = reusable[:0]
+		stopping := ctx.Err() != nil
+		l.stopped = stopping
 		l.mu.Unlock()
-		m.BeginTurn(l.Now())
-		for i, f := range batch {
+		h.BeginTurn(l.Now())
+		for i, f := range events {
 			f()
-			batch[i] = nil
+			events[i] = nil
 		}
-		m.EndTurn()
-		spare = batch
-		if over {
+		h.EndTurn()
+		reusable = events
+		if stopping {
 			return
 		}
 		wait := time.Hour
-		if due, any := m.NextDue(); any {
-			wait = max(0, ToDuration(due-epoch)-time.Since(l.start))
+		if due, ok := h.NextDue(); ok {
+			wait = max(0, ToDuration(due-startTime)-time.Since(l.start))
 		}
 		timer.Reset(wait)
 		select {
