--- a/internal/dispatch/explore_test.go
+++ b/internal/dispatch/explore_test.go
@@ -13,214 +13,221 @@
 	"mallowlanding/router"
 )
 
-// The explorer plays every order of the events below, to a depth, on the real gate, repeats, leaving, engine and
-// module, under a clock of its own: two clients ask for the same thing, cancel, leave; a worker answers in every way,
-// goes and drains; time passes. After each order it lets time run out and checks what was owed.
-
-// world is one play. It is the link to the only worker.
-type world struct {
-	d       *Dispatcher
-	e       *engine.Engine
-	now     router.Time
-	effect  string
-	conns   [2]*Conn
-	replies [2]reply
-	asked   [2]bool
-	left    [2]bool
-	out     []engine.CallOutID        // at the worker, without an end
-	ran     map[engine.CallOutID]bool // RPCs of which a call-out is not proved never to have run
-	broken  string
-	drained bool
+// The test below runs every order of the events listed in this file, up to a length, on the real dispatcher, engine and
+// router with a simulated clock: two clients send the same request, cancel it and leave; a worker answers in every way,
+// fails and drains; time passes. After each order it lets all time limits expire and checks the answers.
+
+// simulation is one run of the test. It implements the link to the only worker.
+type simulation struct {
+	dispatcher *Dispatcher
+	engine     *engine.Engine
+	now        router.Time
+	effect     string
+	conns      [2]*Conn
+	replies    [2]recordedResponder
+	submitted  [2]bool
+	closed     [2]bool
+	inFlight   []engine.CallOutID        // call-outs at the worker that have not ended
+	mayHaveRun map[engine.CallOutID]bool // by RPC: a call-out has ended that may have run
+	violation  string
+	drained    bool
 }
 
 // Send implements engine.Link.
-func (w *world) Send(id engine.CallOutID, _ *engine.RPC, _, _ router.Time) {
+func (s *simulation) Send(id engine.CallOutID, _ *engine.RPC, _, _ router.Time) {
 	rpc := id >> 8
-	beside := slices.ContainsFunc(w.out, func(o engine.CallOutID) bool { return o>>8 == rpc })
+	alreadyInFlight := slices.ContainsFunc(s.inFlight, func(o engine.CallOutID) bool { return o>>8 == rpc })
 	switch {
-	case w.drained:
-		w.broken = "sent to a drained worker"
-	case w.effect == router.SideEffecting && w.ran[rpc]:
-		w.broken = "a side-effecting RPC sent again though it may have run"
-	case beside:
-		w.broken = "an RPC sent beside itself"
+	case s.drained:
+		s.violation = "call-out sent to a drained worker"
+	case s.effect == router.SideEffecting && s.mayHaveRun[rpc]:
+		s.violation = "side-effecting RPC sent again although it may have run"
+	case alreadyInFlight:
+		s.violation = "RPC sent while another of its call-outs is in flight"
 	}
-	w.out = append(w.out, id)
+	s.inFlight = append(s.inFlight, id)
 }
 
 // CancelCallOut implements engine.Link.
-func (w *world) CancelCallOut(engine.CallOutID) {}
+func (s *simulation) CancelCallOut(engine.CallOutID) {}
 
 // CancelLoadOrder implements engine.Link.
-func (w *world) CancelLoadOrder(engine.OrderID) {}
+func (s *simulation) CancelLoadOrder(engine.OrderID) {}
 
 // OrderLoad implements engine.Link.
-func (w *world) OrderLoad(engine.OrderID, string, engine.FunctionSpec, int, router.Time) {}
+func (s *simulation) OrderLoad(engine.OrderID, string, engine.FunctionSpec, int, router.Time) {}
 
 // Check implements engine.Link.
-func (w *world) Check(engine.CheckID) {}
+func (s *simulation) Check(engine.CheckID) {}
 
-func newWorld(effect string) *world {
-	w := &world{effect: effect, now: 1e6, ran: map[engine.CallOutID]bool{}}
+func newSimulation(effect string) *simulation {
+	s := &simulation{effect: effect, now: 1e6, mayHaveRun: map[engine.CallOutID]bool{}}
 	method := engine.Method{Name: "m", Effect: effect, Group: "all", Gain: 1, Deadline: 10000}
-	w.e = engine.New(engine.Options{Now: w.now, CancelWait: 1000, Log: func(string) {}, Settings: router.Settings{
+	s.engine = engine.New(engine.Options{Now: s.now, CancelWait: 1000, Log: func(string) {}, Settings: router.Settings{
 		settingkeys.Methods: 1.0, settingkeys.Item(settingkeys.Methods, 0, settingkeys.Effect): effect,
-		settingkeys.Item(settingkeys.Methods, 0, settingkeys.Group): "all", settingkeys.Item(settingkeys.Methods, 0, settingkeys.Window): 20000.0,
-		settingkeys.Join(settingkeys.May, settingkeys.CallOuts): 3.0, settingkeys.Join(settingkeys.May, settingkeys.Retract): true}})
-	w.d = New(w.e, Options{Methods: []engine.Method{method}, Limits: admission.Settings{MaxHeld: 64, MaxRetryAfter: 5000},
+		settingkeys.Item(settingkeys.Methods, 0, settingkeys.Group):  "all",
+		settingkeys.Item(settingkeys.Methods, 0, settingkeys.Window): 20000.0,
+		settingkeys.Join(settingkeys.May, settingkeys.CallOuts):      3.0,
+		settingkeys.Join(settingkeys.May, settingkeys.Retract):       true}})
+	s.dispatcher = New(s.engine, Options{Methods: []engine.Method{method},
+		Limits: admission.Settings{MaxHeld: 64, MaxRetryAfter: 5000},
 		FunctionSpec: func(int, string) engine.FunctionSpec {
 			return engine.FunctionSpec{MemoryMB: 100, Lanes: 4, LoadTime: 1000}
 		}})
-	for i := range w.conns {
-		w.conns[i] = w.d.OpenConn(admission.PeerID(i))
+	for i := range s.conns {
+		s.conns[i] = s.dispatcher.OpenConn(admission.PeerID(i))
 	}
-	w.turn(func() {
-		w.e.BeginWorkerList(router.ListComplete, 1)
-		if err := w.e.AddListedWorker("w", router.Ready, 0, 0, 0, 0); err != nil {
-			w.broken = err.Error()
+	s.runTurn(func() {
+		s.engine.BeginWorkerList(router.ListComplete, 1)
+		if err := s.engine.AddListedWorker("w", router.Ready, 0, 0, 0, 0); err != nil {
+			s.violation = err.Error()
 		}
-		w.e.EndWorkerList()
-		w.e.SetLink("w", w)
+		s.engine.EndWorkerList()
+		s.engine.SetLink("w", s)
 	})
-	return w
+	return s
 }
 
-// reply keeps what one client is told.
-type reply struct{ told []string }
+// recordedResponder records the answers to one client.
+type recordedResponder struct{ answers []string }
 
-func (r *reply) OK([]byte, []byte)          { r.told = append(r.told, "ok") }
-func (r *reply) Denied(string, router.Time) { r.told = append(r.told, "denied") }
-func (r *reply) Aborted(string)             { r.told = append(r.told, "aborted") }
-func (r *reply) Rejected(string)            { r.told = append(r.told, "refused") }
+func (r *recordedResponder) OK([]byte, []byte)          { r.answers = append(r.answers, "ok") }
+func (r *recordedResponder) Denied(string, router.Time) { r.answers = append(r.answers, "denied") }
+func (r *recordedResponder) Aborted(string)             { r.answers = append(r.answers, "aborted") }
+func (r *recordedResponder) Rejected(string)            { r.answers = append(r.answers, "refused") }
 
-// turn is one of the front end's, as the gateway has it.
-func (w *world) turn(f func()) {
-	w.d.BeginTurn(w.now)
-	w.e.BeginTurn(w.now)
+// runTurn runs one turn of the event loop, in the same steps as the gateway.
+func (s *simulation) runTurn(f func()) {
+	s.dispatcher.BeginTurn(s.now)
+	s.engine.BeginTurn(s.now)
 	f()
-	w.d.Admit()
-	w.e.EndTurn()
+	s.dispatcher.Admit()
+	s.engine.EndTurn()
 }
 
-// pass lets time go on, with all turns that fall due.
-func (w *world) pass(span router.Time) {
-	end := w.now + span
+// advance moves the clock on and runs all turns that are due.
+func (s *simulation) advance(span router.Time) {
+	end := s.now + span
 	for {
-		due, any := w.e.NextDue()
-		if d, is := w.d.NextDue(); is && (!any || d < due) {
-			due, any = d, true
+		due, found := s.engine.NextDue()
+		if d, ok := s.dispatcher.NextDue(); ok && (!found || d < due) {
+			due, found = d, true
 		}
-		if !any || due > end {
+		if !found || due > end {
 			break
 		}
-		w.now = max(due, w.now)
-		w.turn(func() {})
+		s.now = max(due, s.now)
+		s.runTurn(func() {})
 	}
-	w.now = end
-	w.turn(func() {})
+	s.now = end
+	s.runTurn(func() {})
 }
 
-func (w *world) answer(o router.Outcome) func() {
+// endCallOut returns an event that ends the oldest call-out in flight.
+func (s *simulation) endCallOut(o router.Outcome) func() {
 	return func() {
-		id := w.out[0]
-		w.out = w.out[1:]
+		id := s.inFlight[0]
+		s.inFlight = s.inFlight[1:]
 		if o != router.Full && o != router.ConnectFailed && o != router.NotLoaded {
-			w.ran[id>>8] = true
+			s.mayHaveRun[id>>8] = true
 		}
-		w.e.CallOutEnded(id, nameid.Worker("w"), o, router.WarmthUnknown, 0, nil, []byte("1"), nil)
+		s.engine.CallOutEnded(id, nameid.Worker("w"), o, router.WarmthUnknown, 0, nil, []byte("1"), nil)
 	}
 }
 
-// events are what may happen, and whether each can now.
+// events lists the events of a run; possible reports whether an event can happen in the current state.
 var events = []struct {
-	name string
-	can  func(w *world) bool
-	do   func(w *world)
+	name     string
+	possible func(s *simulation) bool
+	do       func(s *simulation)
 }{
-	{"A asks", func(w *world) bool { return !w.asked[0] }, func(w *world) { w.ask(0) }},
-	{"B asks", func(w *world) bool { return !w.asked[1] }, func(w *world) { w.ask(1) }},
-	{"A cancels", func(w *world) bool { return w.open(0) }, func(w *world) { w.cancel(0) }},
-	{"B cancels", func(w *world) bool { return w.open(1) }, func(w *world) { w.cancel(1) }},
-	{"A leaves", func(w *world) bool { return w.asked[0] && !w.left[0] }, func(w *world) { w.leave(0) }},
-	{"B leaves", func(w *world) bool { return w.asked[1] && !w.left[1] }, func(w *world) { w.leave(1) }},
-	{"ok", out, func(w *world) { w.turn(w.answer(router.OK)) }},
-	{"full", out, func(w *world) { w.turn(w.answer(router.Full)) }},
-	{"failed", out, func(w *world) { w.turn(w.answer(router.Errored)) }},
-	{"called off", out, func(w *world) { w.turn(w.answer(router.Cancelled)) }},
-	{"reset", out, func(w *world) { w.turn(w.answer(router.Reset)) }},
-	{"never reached", out, func(w *world) { w.turn(w.answer(router.ConnectFailed)) }},
-	{"drain", func(w *world) bool { return !w.drained }, func(w *world) {
-		w.turn(func() {
-			w.drained = true
-			w.e.BeginWorkerList(router.ListChanges, 2)
-			_ = w.e.AddListedWorker("w", router.Draining, 0, 0, 0, 0)
-			w.e.EndWorkerList()
+	{"A submits", func(s *simulation) bool { return !s.submitted[0] }, func(s *simulation) { s.submit(0) }},
+	{"B submits", func(s *simulation) bool { return !s.submitted[1] }, func(s *simulation) { s.submit(1) }},
+	{"A cancels", func(s *simulation) bool { return s.isOpen(0) }, func(s *simulation) { s.cancel(0) }},
+	{"B cancels", func(s *simulation) bool { return s.isOpen(1) }, func(s *simulation) { s.cancel(1) }},
+	{"A leaves", func(s *simulation) bool { return s.submitted[0] && !s.closed[0] }, func(s *simulation) { s.closeConn(0) }},
+	{"B leaves", func(s *simulation) bool { return s.submitted[1] && !s.closed[1] }, func(s *simulation) { s.closeConn(1) }},
+	{"ok", hasCallOut, func(s *simulation) { s.runTurn(s.endCallOut(router.OK)) }},
+	{"full", hasCallOut, func(s *simulation) { s.runTurn(s.endCallOut(router.Full)) }},
+	{"failed", hasCallOut, func(s *simulation) { s.runTurn(s.endCallOut(router.Errored)) }},
+	{"cancelled", hasCallOut, func(s *simulation) { s.runTurn(s.endCallOut(router.Cancelled)) }},
+	{"reset", hasCallOut, func(s *simulation) { s.runTurn(s.endCallOut(router.Reset)) }},
+	{"connection failed", hasCallOut, func(s *simulation) { s.runTurn(s.endCallOut(router.ConnectFailed)) }},
+	{"drain", func(s *simulation) bool { return !s.drained }, func(s *simulation) {
+		s.runTurn(func() {
+			s.drained = true
+			s.engine.BeginWorkerList(router.ListChanges, 2)
+			_ = s.engine.AddListedWorker("w", router.Draining, 0, 0, 0, 0)
+			s.engine.EndWorkerList()
 		})
 	}},
-	{"0.3 s pass", func(w *world) bool { return true }, func(w *world) { w.pass(3000) }},
+	{"0.3 s pass", func(s *simulation) bool { return true }, func(s *simulation) { s.advance(3000) }},
 }
 
-func out(w *world) bool { return len(w.out) > 0 }
+func hasCallOut(s *simulation) bool { return len(s.inFlight) > 0 }
 
-func (w *world) open(i int) bool { return len(w.conns[i].open) > 0 }
+func (s *simulation) isOpen(i int) bool { return len(s.conns[i].open) > 0 }
 
-func (w *world) ask(i int) {
-	w.asked[i] = true
-	w.turn(func() {
-		w.conns[i].Submit(Params{Function: "f", Token: "t", TimeoutMS: -1, Payload: []byte("1")}, 0, &w.replies[i])
+func (s *simulation) submit(i int) {
+	s.submitted[i] = true
+	s.runTurn(func() {
+		s.conns[i].Submit(Params{Function: "f", Token: "t", TimeoutMS: -1, Payload: []byte("1")}, 0, &s.replies[i])
 	})
 }
 
-func (w *world) cancel(i int) {
-	w.turn(func() {
-		for p := range w.conns[i].open {
+func (s *simulation) cancel(i int) {
+	s.runTurn(func() {
+		for p := range s.conns[i].open {
 			p.Cancel()
 		}
 	})
 }
 
-func (w *world) leave(i int) {
-	w.left[i] = true
-	w.turn(w.conns[i].Close)
+func (s *simulation) closeConn(i int) {
+	s.closed[i] = true
+	s.runTurn(s.conns[i].Close)
 }
 
-// verdict lets time run out and tells what is wrong.
-func (w *world) verdict() string {
-	ran := len(w.ran) > 0 || len(w.out) > 0 // what is out and unanswered may have run
-	w.pass(30000)
-	if w.broken != "" {
-		return w.broken
+// checkOutcome lets all time limits expire and returns what is wrong, empty if nothing is.
+func (s *simulation) checkOutcome() string {
+	mayHaveRun := len(s.mayHaveRun) > 0 || len(s.inFlight) > 0 // call-outs in flight may have run
+	s.advance(30000)
+	if s.violation != "" {
+		return s.violation
 	}
-	for i := range w.conns {
-		told := w.replies[i].told
-		n := len(told)
+	for i := range s.conns {
+		answers := s.replies[i].answers
+		n := len(answers)
 		switch {
-		case !w.asked[i] && n > 0, n > 1, w.asked[i] && !w.left[i] && n != 1:
-			return fmt.Sprintf("client %d has %d answers: %s", i, n, told)
-		case w.effect == router.SideEffecting && ran && !w.asked[1-i] && slices.Contains(told, "denied"):
-			return "denied, though it may have run"
+		case !s.submitted[i] && n > 0, n > 1, s.submitted[i] && !s.closed[i] && n != 1:
+			return fmt.Sprintf("client %d has %d answers: %s", i, n, answers)
+		case s.effect == router.SideEffecting && mayHaveRun && !s.submitted[1-i] && slices.Contains(answers, "denied"):
+			return "denied although it may have run"
 		}
 	}
-	if c := w.e.Counts(); c.Open > 0 || w.d.Waiting() > 0 || w.d.TokenedInProgress() > 0 || len(w.conns[0].open)+len(w.conns[1].open) > 0 {
-		return fmt.Sprintf("something is still open: %+v", c)
+	if c := s.engine.Counts(); c.Open > 0 || s.dispatcher.Waiting() > 0 || s.dispatcher.TokenedInProgress() > 0 ||
+		len(s.conns[0].open)+len(s.conns[1].open) > 0 {
+		return fmt.Sprintf("RPCs or requests are still open at the end: %+v", c)
 	}
 	return ""
 }
 
-func TestEveryOrder(t *testing.T) {
+// TestAllEventOrders checks that every client gets exactly one answer, that a denied RPC has not run unless a repeat is
+// harmless, and that nothing stays open, whatever the order of events.
+func TestAllEventOrders(t *testing.T) {
 	const depth = 5
 	for _, effect := range []string{router.Idempotent, router.Tokened, router.SideEffecting} {
 		t.Run(effect, func(t *testing.T) {
 			t.Parallel()
-			plays, failed := 0, 0
+			runs, failed := 0, 0
 			var explore func(order []int)
 			explore = func(order []int) {
-				w := newWorld(effect)
+				s := newSimulation(effect)
 				for _, i := range order {
-					if !events[i].can(w) {
+					if !events[i].possible(s) {
 						return
 					}
-					events[i].do(w)
+					events[i].do(s)
 				}
 				if len(order) < depth {
 					for i := range events {
@@ -228,21 +235,21 @@
 					}
 					return
 				}
-				plays++
-				if wrong := w.verdict(); wrong != "" && failed < 5 {
+				runs++
+				if violation := s.checkOutcome(); violation != "" && failed < 5 {
 					failed++
 					names := []string{}
 					for _, i := range order {
 						names = append(names, events[i].name)
 					}
-					t.Errorf("%s: %s", strings.Join(names, ", "), wrong)
+					t.Errorf("%s: %s", strings.Join(names, ", "), violation)
 				}
 			}
 			explore(nil)
-			if plays < 3000 {
-				t.Errorf("only %d orders", plays)
+			if runs < 3000 {
+				t.Errorf("only %d orders were run, want at least 3000", runs)
 			}
-			t.Logf("%d orders", plays)
+			t.Logf("%d orders were run", runs)
 		})
 	}
 }
--- a/internal/dispatch/front.go
+++ b/internal/dispatch/front.go
@@ -1,6 +1,6 @@
-// Package dispatch is the part of the clients' side that no protocol has to do with: the gate before the engine, repeats
-// that join, cancelling, time that runs out, and who is owed an answer. Each protocol's front decodes what its clients
-// ask for, takes it here, and encodes the one answer.
+// Package dispatch handles client requests independently of the protocol: admission to the engine, joining of repeats,
+// cancellation, expiry, and the delivery of each answer to every client that waits for it. A protocol's server decodes
+// its clients' requests, submits them here, and encodes the one answer to each.
 package dispatch
 
 import (
@@ -18,107 +18,115 @@
 	"mallowlanding/router"
 )
 
-// Responder is where an RPC's answer goes; exactly one of its methods is called, once, unless its connection leaves.
+// Responder receives a request's answer: exactly one of its methods is called, once, unless the connection is closed or
+// the request abandoned.
 type Responder interface {
-	OK(result, blob []byte)                      // blob: bytes beside the result, where the RPC came with some
-	Denied(message string, comeBack router.Time) // 0: no advice when to come back
+	OK(result, blob []byte)                        // blob: the result's binary part, for an RPC that came with one
+	Denied(message string, retryAfter router.Time) // 0: no advice when to retry
 	Aborted(cause string)
-	Rejected(message string) // what it asks for is wrong; it never ran
+	Rejected(message string) // the request is invalid; it never ran
 }
 
-// Options are a desk's settings.
+// Options are a dispatcher's settings.
 type Options struct {
 	Methods      []engine.Method
-	Customers    []string // by place, empty where one is gone; none: RPCs name no customer
+	Customers    []string // by index, empty where one was removed; none: RPCs name no customer
 	FunctionSpec func(method int, name string) engine.FunctionSpec
-	AnswerMargin router.Time // kept of each RPC's time for the answer's way to the client
+	AnswerMargin router.Time // part of an RPC's time reserved for sending its answer to the client
 	Limits       admission.Settings
-	WrapClient   func(engine.Client) engine.Client // nil: answers go as they are
-	NoJoin       bool                              // RPCs of one token never join: each answer is one that a worker made for that very RPC
+	WrapClient   func(engine.Client) engine.Client // wraps the receiver of the engine's answers; nil: not wrapped
+	// NoJoin: a repeat does not join an open RPC of the same token, so that each answer is what a worker answered to that
+	// very RPC.
+	NoJoin bool
 }
 
-// Params are what an RPC asks for.
+// Params are the parameters of a request.
 type Params struct {
-	Method       int // place in the settings
+	Method       int // index in the settings
 	Function     string
 	Customer     string
 	Token        string
-	TimeoutMS    float64 // how long its client waits, in ms; below 0: not told
+	TimeoutMS    float64 // how long the client waits; below 0: not specified
 	Payload      []byte  // JSON
-	Blob         []byte  // bytes beside it
+	Blob         []byte  // binary part of the payload
 	Repeat       bool
-	ClientRPCID  string               // the client's own id of the RPC, which its call-outs carry on; empty: it has none
-	FunctionSpec *engine.FunctionSpec // what a copy of the function needs, where the RPC itself tells; nil: the settings do
+	ClientRPCID  string               // the client's own id of the RPC, passed on with its call-outs; empty: none
+	FunctionSpec *engine.FunctionSpec // needs of a copy, if given by the request itself; nil: as in the settings
 }
 
-// Dispatcher is a front end's, for all of its protocols. It belongs to the loop's goroutine.
+// Dispatcher handles the requests of all protocols of a front end. It belongs to the goroutine of the event loop; only
+// methods that say so may be called from others.
 type Dispatcher struct {
-	o        Options
-	engine   *engine.Engine
-	service  atomic.Pointer[Service]
-	now      router.Time
-	timers   eventloop.Timers
-	gate     *admission.Queue
-	repeats  *dedup.Tracker[*Request]
-	works    map[*dedup.SharedRPC[*Request]]*work
-	order    uint64
-	stopping bool
+	options    Options
+	engine     *engine.Engine
+	service    atomic.Pointer[Service]
+	now        router.Time
+	timers     eventloop.Timers
+	queue      *admission.Queue
+	repeats    *dedup.Tracker[*Request]
+	executions map[*dedup.SharedRPC[*Request]]*execution
+	lastSeq    uint64
+	draining   bool
 }
 
-// Service is what RPCs may ask for. It is replaced whole.
+// Service lists the methods and customers that requests may name. It is immutable, and replaced when settings change.
 type Service struct {
-	list      []engine.Method // by place
-	methods   map[string]int  // without those that are gone
-	customers map[string]int
-	function  func(method int, name string) engine.FunctionSpec
+	byIndex       []engine.Method // by index
+	methodIndex   map[string]int  // without removed methods
+	customerIndex map[string]int
+	functionSpec  func(method int, name string) engine.FunctionSpec
 }
 
-// NewService makes a service of methods and customers by place, those without a name gone; that needs no turn.
-func NewService(methods []engine.Method, customers []string, function func(int, string) engine.FunctionSpec) *Service {
-	s := &Service{list: methods, methods: map[string]int{}, customers: map[string]int{}, function: function}
+// NewService makes a service of methods and customers by their index in the settings. A customer without a name was
+// removed. Any goroutine may call it.
+func NewService(methods []engine.Method, customers []string,
+	functionSpec func(int, string) engine.FunctionSpec) *Service {
+	s := &Service{byIndex: methods, methodIndex: map[string]int{}, customerIndex: map[string]int{},
+		functionSpec: functionSpec}
 	for i, m := range methods {
 		if !m.Removed {
-			s.methods[m.Name] = i
+			s.methodIndex[m.Name] = i
 		}
 	}
 	for i, c := range customers {
 		if c != "" {
-			s.customers[c] = i
+			s.customerIndex[c] = i
 		}
 	}
 	return s
 }
 
-// New makes the desk of an engine.
-func New(e *engine.Engine, o Options) *Dispatcher {
-	d := &Dispatcher{o: o, engine: e, gate: admission.New(o.Limits), repeats: dedup.New[*Request](),
-		works: map[*dedup.SharedRPC[*Request]]*work{}}
-	d.service.Store(NewService(o.Methods, o.Customers, o.FunctionSpec))
+// New makes the dispatcher of an engine.
+func New(e *engine.Engine, options Options) *Dispatcher {
+	d := &Dispatcher{options: options, engine: e, queue: admission.New(options.Limits), repeats: dedup.New[*Request](),
+		executions: map[*dedup.SharedRPC[*Request]]*execution{}}
+	d.service.Store(NewService(options.Methods, options.Customers, options.FunctionSpec))
 	return d
 }
 
-// UpdateSettings takes a new service and new bounds; in a turn. Methods and customers keep their places; one that is gone
-// keeps it for the RPCs that have it. An RPC that waits at the gate goes by the new settings, or is refused by them.
-func (d *Dispatcher) UpdateSettings(s *Service, gate admission.Settings) {
+// UpdateSettings replaces the service and the limits, within a turn. Methods and customers keep their indexes; a removed
+// one keeps its index for the RPCs that use it. A request still waiting for admission is subject to the new settings,
+// and rejected if they don't allow it.
+func (d *Dispatcher) UpdateSettings(s *Service, limits admission.Settings) {
 	d.service.Store(s)
-	d.gate.UpdateSettings(gate)
+	d.queue.UpdateSettings(limits)
 }
 
-// MethodIndex finds a method's place; any goroutine may ask.
-func (d *Dispatcher) MethodIndex(name string) (place int, known bool) {
-	place, known = d.service.Load().methods[name]
-	return place, known
+// MethodIndex returns the index of a method by its name. Any goroutine may call it.
+func (d *Dispatcher) MethodIndex(name string) (index int, known bool) {
+	index, known = d.service.Load().methodIndex[name]
+	return index, known
 }
 
-// MethodAt is the method at a place; any goroutine may ask.
-func (d *Dispatcher) MethodAt(place int) *engine.Method { return &d.service.Load().list[place] }
+// MethodAt returns the method at an index. Any goroutine may call it.
+func (d *Dispatcher) MethodAt(index int) *engine.Method { return &d.service.Load().byIndex[index] }
 
-// Validate tells what is missing or wrong in what is asked for; any goroutine may ask. The words are those of the
-// protocols' parameters.
+// Validate returns an error if a parameter is missing or invalid. Errors use the parameter names of the protocols. Any
+// goroutine may call it.
 func (d *Dispatcher) Validate(p *Params) error {
 	s := d.service.Load()
-	m := &s.list[p.Method]
-	_, knownCustomer := s.customers[p.Customer]
+	m := &s.byIndex[p.Method]
+	_, knownCustomer := s.customerIndex[p.Customer]
 	switch {
 	case m.MaxBytes > 0 && int64(len(p.Payload)+len(p.Blob)) > m.MaxBytes:
 		return fmt.Errorf("payload of %d bytes, method %q takes %d", len(p.Payload)+len(p.Blob), m.Name, m.MaxBytes)
@@ -126,7 +134,7 @@
 		return errors.New(`"function" is missing or empty`)
 	case m.Effect == router.Tokened && p.Token == "":
 		return fmt.Errorf(`"token" is missing: method %q is tokened`, m.Name)
-	case len(s.customers) > 0 && p.Customer == "":
+	case len(s.customerIndex) > 0 && p.Customer == "":
 		return errors.New(`"customer" is missing`)
 	case p.Customer != "" && !knownCustomer:
 		return fmt.Errorf("no customer %.80q", p.Customer)
@@ -134,284 +142,288 @@
 	return nil
 }
 
-// BeginTurn tells the time of a turn.
+// BeginTurn sets the time of a turn of the event loop.
 func (d *Dispatcher) BeginTurn(now router.Time) { d.now = now }
 
-// Admit hands to the engine what may pass the gate: after a turn's events, before the engine's end of the turn.
+// Admit submits to the engine the requests that the admission queue lets through. It is called after a turn's events and
+// before Engine.EndTurn.
 func (d *Dispatcher) Admit() {
 	d.timers.Fire(d.now)
-	for t := d.gate.Next(); t != nil; t = d.gate.Next() {
-		t.Value.(*Request).start()
+	for ticket := d.queue.Next(); ticket != nil; ticket = d.queue.Next() {
+		ticket.Value.(*Request).admit()
 	}
 }
 
-// NextDue tells when the desk wants a turn though nothing comes.
+// NextDue returns when the dispatcher needs a turn even if no event arrives; false: never.
 func (d *Dispatcher) NextDue() (router.Time, bool) {
-	if d.gate.HasNext() {
+	if d.queue.HasNext() {
 		return d.now, true
 	}
 	return d.timers.NextDue()
 }
 
-// Waiting is the number of RPCs at the gate, which the engine has not taken yet.
-func (d *Dispatcher) Waiting() int { return d.gate.Waiting() }
+// Waiting returns the number of requests in the admission queue, not yet submitted to the engine.
+func (d *Dispatcher) Waiting() int { return d.queue.Waiting() }
 
-// TokenedInProgress is the number of tokened RPCs at work.
-func (d *Dispatcher) TokenedInProgress() int { return len(d.works) }
+// TokenedInProgress returns the number of tokened RPCs at the engine.
+func (d *Dispatcher) TokenedInProgress() int { return len(d.executions) }
 
-// Drain has RPCs that come from now on denied.
-func (d *Dispatcher) Drain() { d.stopping = true }
+// Drain has all further requests denied.
+func (d *Dispatcher) Drain() { d.draining = true }
 
-// Draining tells whether RPCs that come are denied because the front end leaves.
-func (d *Dispatcher) Draining() bool { return d.stopping }
+// Draining reports whether further requests are denied because the front end is stopping.
+func (d *Dispatcher) Draining() bool { return d.draining }
 
-// Conn is the handle of one client's connection.
+// Conn is the connection of one client.
 type Conn struct {
-	d    *Dispatcher
-	gate *admission.Conn
-	open map[*Request]bool
-	gone bool
+	dispatcher *Dispatcher
+	queue      *admission.Conn
+	open       map[*Request]bool
+	closed     bool
 }
 
-// OpenConn tells of a connection.
+// OpenConn adds a connection.
 func (d *Dispatcher) OpenConn(peer admission.PeerID) *Conn {
-	return &Conn{d: d, gate: d.gate.OpenConn(peer), open: map[*Request]bool{}}
+	return &Conn{dispatcher: d, queue: d.queue.OpenConn(peer), open: map[*Request]bool{}}
 }
 
-// OpenRPCs is the number of RPCs open on the connection.
+// OpenRPCs returns the number of requests open on the connection.
 func (c *Conn) OpenRPCs() int { return len(c.open) }
 
-// Close tells that the client is gone: nothing is owed on this connection any more.
+// Close ends the connection, whose client has left: its open requests get no answer.
 func (c *Conn) Close() {
-	c.gone = true
-	for _, a := range c.inOrder() {
-		a.forget()
-		if a.work != nil && a.work.leave(a) {
-			a.work.rpc.ClientLeft()
+	c.closed = true
+	for _, r := range c.byArrival() {
+		r.remove()
+		if r.execution != nil && r.execution.removeWaiter(r) {
+			r.execution.rpc.ClientLeft()
 		}
 	}
 }
 
-// inOrder is what is open, in the order in which it came.
-func (c *Conn) inOrder() []*Request {
+// byArrival returns the open requests in the order in which they arrived.
+func (c *Conn) byArrival() []*Request {
 	all := make([]*Request, 0, len(c.open))
-	for a := range c.open {
-		all = append(all, a)
+	for r := range c.open {
+		all = append(all, r)
 	}
-	slices.SortFunc(all, func(a, b *Request) int { return cmp.Compare(a.order, b.order) })
+	slices.SortFunc(all, func(a, b *Request) int { return cmp.Compare(a.seq, b.seq) })
 	return all
 }
 
-// Request is the handle of one RPC as its client sees it.
+// Request is one RPC as sent by its client. Several requests of the same token may share one RPC at the engine.
 type Request struct {
-	c      *Conn
-	p      Params
-	reply  Responder
-	order  uint64
-	until  router.Time // its client's time is up
-	ticket *admission.Ticket
-	timer  eventloop.Timer // while it waits at the gate, or joined another's work
-	work   *work
+	conn        *Conn
+	params      Params
+	responder   Responder
+	seq         uint64
+	expiresAt   router.Time // when the client stops waiting
+	ticket      *admission.Ticket
+	expiryTimer eventloop.Timer // set while the request waits for admission, or for the RPC that it joined
+	execution   *execution
 }
 
-// work is one RPC at the engine and all who wait for its answer. It is the engine's Client.
-type work struct {
-	d     *Dispatcher
-	rpc   *engine.RPC
-	lead  *Request // whose ticket holds the place
-	group *dedup.SharedRPC[*Request]
+// execution is one RPC at the engine with the requests that wait for its answer. It implements engine.Client.
+type execution struct {
+	dispatcher *Dispatcher
+	rpc        *engine.RPC
+	leader     *Request // the request whose ticket counts the RPC as queued by the router
+	shared     *dedup.SharedRPC[*Request]
 }
 
-// Submit brings an RPC to the gate. Waited is how long ago it came in, which is taken off its time. The answer may be given
-// before Take returns; the handle is then over.
-func (c *Conn) Submit(p Params, waited router.Time, reply Responder) *Request {
-	d := c.d
-	a := &Request{c: c, p: p, reply: reply}
-	if c.gone {
-		return a
+// Submit adds a request to the admission queue. Elapsed is the time since the request arrived; it is deducted from the
+// client's time. The answer may be given before Submit returns; the request is then finished.
+func (c *Conn) Submit(p Params, elapsed router.Time, responder Responder) *Request {
+	d := c.dispatcher
+	r := &Request{conn: c, params: p, responder: responder}
+	if c.closed {
+		return r
 	}
-	if d.stopping {
-		reply.Denied("denied: this front end is leaving", 0)
-		return a
+	if d.draining {
+		responder.Denied("denied: this front end is leaving", 0)
+		return r
 	}
 	method := d.MethodAt(p.Method)
 	left := method.Deadline
 	if p.TimeoutMS >= 0 {
 		left = min(left, router.Time(math.Min(p.TimeoutMS*10, math.MaxInt32)))
 	}
-	a.until = d.now + left - waited
-	t, refused, displaced := c.gate.Enqueue(d.now, p.Function, int64(len(p.Payload)+len(p.Blob)), method.Gain, a)
-	if refused != nil {
-		reply.Denied(refused.Reason, refused.RetryAfter)
-		return a
+	r.expiresAt = d.now + left - elapsed
+	ticket, rejection, displaced := c.queue.Enqueue(d.now, p.Function, int64(len(p.Payload)+len(p.Blob)), method.Gain, r)
+	if rejection != nil {
+		responder.Denied(rejection.Reason, rejection.RetryAfter)
+		return r
 	}
 	if displaced != nil {
-		gives := displaced.Value.(*Request)
-		gives.forget()
-		gives.reply.Denied("denied: an RPC of more gain took its place", d.gate.RetryAfter())
+		displacedRequest := displaced.Value.(*Request)
+		displacedRequest.remove()
+		displacedRequest.responder.Denied("denied: an RPC of more gain took its place", d.queue.RetryAfter())
 	}
-	d.order++
-	a.ticket, a.order = t, d.order
-	c.open[a] = true
-	d.timers.Set(&a.timer, a.until-d.o.AnswerMargin, func(router.Time) { a.expire() })
-	return a
+	d.lastSeq++
+	r.ticket, r.seq = ticket, d.lastSeq
+	c.open[r] = true
+	d.timers.Set(&r.expiryTimer, r.expiresAt-d.options.AnswerMargin, func(router.Time) { r.expire() })
+	return r
 }
 
-// Finished tells whether the RPC is open no more.
-func (a *Request) Finished() bool { return !a.c.open[a] }
-
-// start hands the RPC to the engine, or has it join one at work, once it has passed the gate.
-func (a *Request) start() {
-	d := a.c.d
-	d.timers.Stop(&a.timer)
-	if err := d.Validate(&a.p); err != nil { // the settings changed while it waited
-		a.forget()
-		a.reply.Rejected(err.Error())
+// Finished reports whether the request is no longer open.
+func (r *Request) Finished() bool { return !r.conn.open[r] }
+
+// admit submits a request that has passed the admission queue to the engine, or joins it to an open RPC of the same
+// token.
+func (r *Request) admit() {
+	d := r.conn.dispatcher
+	d.timers.Stop(&r.expiryTimer)
+	if err := d.Validate(&r.params); err != nil { // the settings may have changed while it waited
+		r.remove()
+		r.responder.Rejected(err.Error())
 		return
 	}
-	method := d.MethodAt(a.p.Method)
-	w := &work{d: d, lead: a}
-	if method.Effect == router.Tokened && !d.o.NoJoin {
-		key := dedup.Key{Method: method.Name, Customer: a.p.Customer, Token: a.p.Token}
-		group, decision := d.repeats.Add(key, a.p.Function, a, a.p.Payload, a.p.Blob)
+	method := d.MethodAt(r.params.Method)
+	e := &execution{dispatcher: d, leader: r}
+	if method.Effect == router.Tokened && !d.options.NoJoin {
+		key := dedup.Key{Method: method.Name, Customer: r.params.Customer, Token: r.params.Token}
+		shared, decision := d.repeats.Add(key, r.params.Function, r, r.params.Payload, r.params.Blob)
 		switch decision {
 		case dedup.Conflicting:
-			a.forget()
-			a.reply.Rejected("an RPC of this token is open that asks for something else")
+			r.remove()
+			r.responder.Rejected("an RPC of this token is open that asks for something else")
 			return
 		case dedup.Joined:
-			a.work = d.works[group]
-			a.ticket.SetHeld(false)
-			d.timers.Set(&a.timer, a.until-d.o.AnswerMargin, func(router.Time) { a.expire() })
+			r.execution = d.executions[shared]
+			r.ticket.SetHeld(false)
+			d.timers.Set(&r.expiryTimer, r.expiresAt-d.options.AnswerMargin, func(router.Time) { r.expire() })
 			return
 		}
-		w.group = group
-		d.works[group] = w
+		e.shared = shared
+		d.executions[shared] = e
 	}
-	if other, meets := d.engine.IDCollision(a.p.Function); meets {
-		a.forget()
-		w.end()
-		a.reply.Rejected(fmt.Sprintf("function %.80q has the id of function %.80q: rename one of them", a.p.Function, other))
+	if other, collides := d.engine.IDCollision(r.params.Function); collides {
+		r.remove()
+		e.finish()
+		r.responder.Rejected(fmt.Sprintf("function %.80q has the id of function %.80q: rename one of them",
+			r.params.Function, other))
 		return
 	}
-	var client engine.Client = w
-	if d.o.WrapClient != nil {
-		client = d.o.WrapClient(w)
+	var client engine.Client = e
+	if d.options.WrapClient != nil {
+		client = d.options.WrapClient(e)
 	}
-	a.work = w
-	fn := a.p.FunctionSpec
-	if fn == nil {
-		told := d.service.Load().function(a.p.Method, a.p.Function)
-		fn = &told
+	r.execution = e
+	spec := r.params.FunctionSpec
+	if spec == nil {
+		fromSettings := d.service.Load().functionSpec(r.params.Method, r.params.Function)
+		spec = &fromSettings
 	}
-	w.rpc = d.engine.Submit(router.MethodID(a.p.Method), method, router.CustomerID(d.service.Load().customers[a.p.Customer]),
-		a.p.Function, *fn, a.p.Token, a.until-d.now, a.p.Repeat, a.p.Payload, a.p.Blob, client)
-	w.rpc.ClientRPCID = a.p.ClientRPCID // what is sent is sent at the turn's end
+	e.rpc = d.engine.Submit(router.MethodID(r.params.Method), method,
+		router.CustomerID(d.service.Load().customerIndex[r.params.Customer]), r.params.Function, *spec, r.params.Token,
+		r.expiresAt-d.now, r.params.Repeat, r.params.Payload, r.params.Blob, client)
+	e.rpc.ClientRPCID = r.params.ClientRPCID // set in time: call-outs are sent at the end of the turn
 }
 
-// Cancel tells that the client wants no result any more, but its one answer.
-func (a *Request) Cancel() {
+// Cancel handles the client's cancellation of the request, which still gets its one answer.
+func (r *Request) Cancel() {
 	switch {
-	case a.Finished():
-	case a.work == nil: // it waited at the gate, and never ran
-		a.forget()
-		a.reply.Denied("denied: cancelled", 0)
-	case a.work.leave(a):
-		a.work.group, a.work.lead = nil, a // the answer is this one's
-		a.work.rpc.Cancel()
-	default: // others wait for the same work: it goes on
-		a.part()
+	case r.Finished():
+	case r.execution == nil: // it waits for admission and has not run
+		r.remove()
+		r.responder.Denied("denied: cancelled", 0)
+	case r.execution.removeWaiter(r):
+		r.execution.shared, r.execution.leader = nil, r // the answer goes to this request
+		r.execution.rpc.Cancel()
+	default: // other requests wait for the same RPC, which goes on
+		r.stopWaiting()
 	}
 }
 
-// Abandon tells that the client wants nothing any more, not even an answer; others of its connection may.
-func (a *Request) Abandon() {
-	if a.Finished() {
+// Abandon ends the request without an answer. Other requests of the connection go on.
+func (r *Request) Abandon() {
+	if r.Finished() {
 		return
 	}
-	a.forget()
-	if a.work != nil && a.work.leave(a) {
-		a.work.rpc.ClientLeft()
+	r.remove()
+	if r.execution != nil && r.execution.removeWaiter(r) {
+		r.execution.rpc.ClientLeft()
 	}
 }
 
-// expire: its time is up at the gate, or while another's work that it joined goes on.
-func (a *Request) expire() {
+// expire answers a request whose time is over while it waits for admission or for an RPC that it joined.
+func (r *Request) expire() {
 	switch {
-	case a.work == nil:
-		a.forget()
-		a.reply.Denied("denied", a.c.d.gate.RetryAfter())
-	case a.work.leave(a):
-		a.part()
-		a.work.rpc.ClientLeft()
+	case r.execution == nil:
+		r.remove()
+		r.responder.Denied("denied", r.conn.dispatcher.queue.RetryAfter())
+	case r.execution.removeWaiter(r):
+		r.stopWaiting()
+		r.execution.rpc.ClientLeft()
 	default:
-		a.part()
+		r.stopWaiting()
 	}
 }
 
-// part answers a client that stops waiting for work that may have run, or may run yet.
-func (a *Request) part() {
-	a.forget()
-	if a.work.rpc.RetryHarmless() {
-		a.reply.Denied("denied", 0)
+// stopWaiting answers a request that no longer waits for an RPC which may have run or may still run.
+func (r *Request) stopWaiting() {
+	r.remove()
+	if r.execution.rpc.RetryHarmless() {
+		r.responder.Denied("denied", 0)
 		return
 	}
-	a.reply.Aborted("it waited for an RPC of the same token")
+	r.responder.Aborted("it waited for an RPC of the same token")
 }
 
-// forget takes the RPC out of what is open.
-func (a *Request) forget() {
-	delete(a.c.open, a)
-	a.c.d.timers.Stop(&a.timer)
-	a.ticket.Release(a.c.d.now)
+// remove takes the request out of the open ones and releases its ticket.
+func (r *Request) remove() {
+	delete(r.conn.open, r)
+	r.conn.dispatcher.timers.Stop(&r.expiryTimer)
+	r.ticket.Release(r.conn.dispatcher.now)
 }
 
-// leave takes a out of who waits; it tells whether nobody does any more.
-func (w *work) leave(a *Request) (last bool) {
-	if w.group == nil {
+// removeWaiter has r wait for the RPC no longer, and reports whether no request waits for it any more.
+func (e *execution) removeWaiter(r *Request) (last bool) {
+	if e.shared == nil {
 		return true
 	}
-	if last = w.group.Remove(a); last {
-		delete(w.d.works, w.group)
+	if last = e.shared.Remove(r); last {
+		delete(e.dispatcher.executions, e.shared)
 	}
 	return last
 }
 
-// end returns who waits for the work, and forgets its group.
-func (w *work) end() []*Request {
-	if w.group == nil {
-		if w.lead.c.open[w.lead] {
-			return []*Request{w.lead}
+// finish ends the execution and returns the requests that wait for its answer.
+func (e *execution) finish() []*Request {
+	if e.shared == nil {
+		if e.leader.conn.open[e.leader] {
+			return []*Request{e.leader}
 		}
 		return nil
 	}
-	delete(w.d.works, w.group)
-	return w.group.Finish()
+	delete(e.dispatcher.executions, e.shared)
+	return e.shared.Finish()
 }
 
 // OK implements engine.Client.
-func (w *work) OK(result, blob []byte) {
-	for _, a := range w.end() {
-		a.forget()
-		a.reply.OK(result, blob)
+func (e *execution) OK(result, blob []byte) {
+	for _, r := range e.finish() {
+		r.remove()
+		r.responder.OK(result, blob)
 	}
 }
 
 // Denied implements engine.Client.
-func (w *work) Denied(comeBack router.Time) {
-	for _, a := range w.end() {
-		a.forget()
-		a.reply.Denied("denied", comeBack)
+func (e *execution) Denied(retryAfter router.Time) {
+	for _, r := range e.finish() {
+		r.remove()
+		r.responder.Denied("denied", retryAfter)
 	}
 }
 
 // Aborted implements engine.Client.
-func (w *work) Aborted(cause string) {
-	for _, a := range w.end() {
-		a.forget()
-		a.reply.Aborted(cause)
+func (e *execution) Aborted(cause string) {
+	for _, r := range e.finish() {
+		r.remove()
+		r.responder.Aborted(cause)
 	}
 }
 
 // QueuedChanged implements engine.Client.
-func (w *work) QueuedChanged(held bool) { w.lead.ticket.SetHeld(held) }
+func (e *execution) QueuedChanged(queued bool) { e.leader.ticket.SetHeld(queued) }
