--- a/internal/admission/limits.go
+++ b/internal/admission/limits.go
@@ -1,10 +1,11 @@
-// Package admission bounds what clients may have open and in flight, for a connection, for a peer and for the whole
-// front end, and gives connections fair turns, so that one that floods does not starve one with a single RPC. No I/O,
-// no clock; the same events, the same decisions.
+// Package admission limits the open RPCs and payload bytes of each connection, each peer and the whole front end, and
+// schedules connections fairly, so that a connection that floods the front end does not starve one with a single RPC.
+// It does no I/O and has no clock: the same events always lead to the same decisions.
 //
-// An RPC arrives with a Ticket. It waits at the gate until its connection's turn: Next hands out tickets one
-// connection after the other, within a connection by gain, then first come. What the module holds for a connection is
-// bounded (Settings.Held), since it serves its own queue by gain and age, and knows of no connections.
+// Each RPC is represented by a Ticket, which waits in the Queue. Queue.Next admits tickets round-robin over the
+// connections, within a connection by highest gain, then by order of arrival. The number of RPCs that the router queues
+// for one connection is limited (Settings.MaxRouterQueued), because the router orders its own queue by gain and age
+// and does not know of connections.
 package admission
 
 import (
@@ -16,285 +17,296 @@
 	"mallowlanding/router"
 )
 
-// Limit is a most of RPCs open and of payload bytes in flight; 0: none.
+// Limit is a limit of open RPCs and of their payload bytes; 0: no limit.
 type Limit struct {
 	RPCs  int
 	Bytes int64
 }
 
-// Settings are the gate's figures.
+// Settings are the limits of a queue.
 type Settings struct {
 	Total, Peer, Conn Limit
-	MaxHeld           int         // RPCs of one function and one connection that the module may hold; 0: no bound
-	MaxRetryAfter     router.Time // the longest that clients are told to stay away
+	MaxRouterQueued   int         // RPCs of one function and connection in the router's queue; 0: no limit
+	MaxRetryAfter     router.Time // upper bound of Rejection.RetryAfter
 }
 
-// heldAll is how many times Held one connection may have held over all functions: a connection that carries many
-// functions is not stopped by one of them, but bounded all the same.
-const heldAll = 8
+// totalQueuedFactor times Settings.MaxRouterQueued is the limit of one connection's RPCs in the router's queue over all
+// functions. A connection with many functions is not blocked by one of them, but still limited.
+const totalQueuedFactor = 8
 
-// paceFade is the part of the gate's pace that one answer renews.
-const paceFade = 1. / 32
+// answerIntervalWeight is the weight of the latest interval in the moving average Queue.answerInterval.
+const answerIntervalWeight = 1. / 32
 
-// spareLines is how many connections with nothing waiting may be remembered before they are looked through.
-const spareLines = 64
+// maxIdleConns bounds the connections without waiting tickets in Queue.waitingConns, which prune then removes.
+const maxIdleConns = 64
 
-// PeerID is who a connection's other side is.
+// PeerID identifies the client that opened a connection.
 type PeerID uint32
 
-// Rejection tells why an RPC is not taken, and when to come back.
+// Rejection says why an RPC is not accepted, and after what time the client may retry.
 type Rejection struct {
 	Reason     string
 	RetryAfter router.Time
 }
 
-// Queue is one front end's.
+// Queue is the admission queue of one front end.
 type Queue struct {
-	set      Settings
-	whole    use
-	peers    map[PeerID]*use
-	turns    []*Conn // with tickets waiting that may pass, in their order
-	lines    []*Conn // with tickets waiting, and some that had
-	waiting  int
-	order    uint64
-	pace     float64 // mean time between answers, in units
-	lastDone router.Time
+	settings       Settings
+	total          usage
+	peers          map[PeerID]*usage
+	ready          []*Conn // connections with an eligible ticket, in round-robin order
+	waitingConns   []*Conn // connections with waiting tickets, and some whose tickets are gone; see prune
+	waiting        int
+	lastSeq        uint64
+	answerInterval float64 // moving average of the time between answers, in units of router.Time
+	lastAnswer     router.Time
 }
 
-type use struct {
+// usage counts the open RPCs and payload bytes of a connection, a peer or the front end.
+type usage struct {
 	rpcs  int
 	bytes int64
 }
 
-// Conn is the handle of one connection.
+// Conn is one connection at the queue.
 type Conn struct {
-	g      *Queue
-	peer   PeerID
-	use    use
-	line   line
-	held   map[string]int // by function
-	all    int
-	inTurn bool
-	inLine bool // it is in the gate's lines
+	queue            *Queue
+	peer             PeerID
+	usage            usage
+	tickets          gainHeap
+	queuedByFunction map[string]int // tickets with routerQueued set, by function
+	queuedTotal      int            // the sum of queuedByFunction
+	inReady          bool           // the connection is in Queue.ready
+	inWaiting        bool           // the connection is in Queue.waitingConns
 }
 
-// Ticket is the handle of one RPC at the gate.
+// Ticket represents one RPC at the queue, until Release.
 type Ticket struct {
-	c        *Conn
-	Value    any
-	function string
-	gain     float64
-	order    uint64
-	bytes    int64
-	at       int  // place in the line + 1; 0: it passed
-	held     bool // the module holds it
-	done     bool
+	conn         *Conn
+	Value        any
+	function     string
+	gain         float64
+	seq          uint64
+	bytes        int64
+	heapPos      int  // index in Conn.tickets + 1; 0: admitted
+	routerQueued bool // the RPC waits in the router's queue
+	released     bool
 }
 
-// New makes a gate.
-func New(s Settings) *Queue { return &Queue{set: s, peers: map[PeerID]*use{}} }
+// New makes an empty queue.
+func New(s Settings) *Queue { return &Queue{settings: s, peers: map[PeerID]*usage{}} }
 
-// UpdateSettings takes new figures. What is open stays; where it is more than a bound now, nothing comes in until it is less.
-func (g *Queue) UpdateSettings(s Settings) {
-	g.set = s
-	g.prune()
-	for _, c := range g.lines { // a bound that was raised may let some pass
-		g.queue(c)
+// UpdateSettings replaces the limits. Open RPCs stay; while they exceed a new limit, no further RPC is accepted.
+func (q *Queue) UpdateSettings(s Settings) {
+	q.settings = s
+	q.prune()
+	for _, c := range q.waitingConns { // a raised limit may make tickets eligible
+		q.markReady(c)
 	}
 }
 
-// OpenConn tells of a connection.
-func (g *Queue) OpenConn(peer PeerID) *Conn { return &Conn{g: g, peer: peer, held: map[string]int{}} }
+// OpenConn adds a connection of a peer.
+func (q *Queue) OpenConn(peer PeerID) *Conn {
+	return &Conn{queue: q, peer: peer, queuedByFunction: map[string]int{}}
+}
 
-// Waiting is the number of tickets that wait at the gate.
-func (g *Queue) Waiting() int { return g.waiting }
+// Waiting returns the number of tickets that wait for admission.
+func (q *Queue) Waiting() int { return q.waiting }
 
-func (u *use) full(b Limit, bytes int64) string {
+// exceeded returns which part of a limit one more RPC of so many bytes would exceed; empty: none. A single RPC is never
+// too large.
+func (u *usage) exceeded(limit Limit, bytes int64) string {
 	switch {
-	case b.RPCs > 0 && u.rpcs >= b.RPCs:
+	case limit.RPCs > 0 && u.rpcs >= limit.RPCs:
 		return fmt.Sprintf("%d RPCs are open", u.rpcs)
-	case b.Bytes > 0 && u.rpcs > 0 && u.bytes+bytes > b.Bytes:
+	case limit.Bytes > 0 && u.rpcs > 0 && u.bytes+bytes > limit.Bytes:
 		return fmt.Sprintf("%d bytes are in flight", u.bytes)
 	}
 	return ""
 }
 
-// Enqueue takes an RPC: a ticket that waits, or a refusal. Where the whole front end is full, a ticket of less gain
-// that still waits gives way: it is returned as displaced, refused, and the newcomer takes its place.
-func (c *Conn) Enqueue(now router.Time, function string, bytes int64, gain float64, body any) (t *Ticket,
-	refused *Rejection, displaced *Ticket) {
-	g := c.g
-	peer := g.peers[c.peer]
+// Enqueue adds an RPC as a waiting ticket, or rejects it. If the limit of the whole front end is reached, a waiting
+// ticket of less gain is displaced by the new one: it is released and returned as displaced, for the caller to deny.
+func (c *Conn) Enqueue(now router.Time, function string, bytes int64, gain float64, value any) (t *Ticket,
+	rejection *Rejection, displaced *Ticket) {
+	q := c.queue
+	peer := q.peers[c.peer]
 	if peer == nil {
-		peer = &use{}
-		g.peers[c.peer] = peer
+		peer = &usage{}
+		q.peers[c.peer] = peer
 	}
-	if why := c.use.full(g.set.Conn, bytes); why != "" {
-		return nil, g.refuse(why + " on this connection"), nil
+	if reason := c.usage.exceeded(q.settings.Conn, bytes); reason != "" {
+		return nil, q.reject(reason + " on this connection"), nil
 	}
-	if why := peer.full(g.set.Peer, bytes); why != "" {
-		return nil, g.refuse(why + " for this peer"), nil
+	if reason := peer.exceeded(q.settings.Peer, bytes); reason != "" {
+		return nil, q.reject(reason + " for this peer"), nil
 	}
-	if why := g.whole.full(g.set.Total, bytes); why != "" {
-		if displaced = g.least(gain); displaced == nil || g.whole.rpcs > 0 && g.set.Total.Bytes > 0 &&
-			g.whole.bytes-displaced.bytes+bytes > g.set.Total.Bytes {
-			return nil, g.refuse(why + " at this front end"), nil
+	if reason := q.total.exceeded(q.settings.Total, bytes); reason != "" {
+		if displaced = q.lowestGain(gain); displaced == nil || q.total.rpcs > 0 && q.settings.Total.Bytes > 0 &&
+			q.total.bytes-displaced.bytes+bytes > q.settings.Total.Bytes {
+			return nil, q.reject(reason + " at this front end"), nil
 		}
 		displaced.Release(now)
 	}
-	g.order++
-	t = &Ticket{c: c, Value: body, function: function, gain: gain, order: g.order, bytes: bytes}
-	for _, u := range []*use{&c.use, peer, &g.whole} {
+	q.lastSeq++
+	t = &Ticket{conn: c, Value: value, function: function, gain: gain, seq: q.lastSeq, bytes: bytes}
+	for _, u := range []*usage{&c.usage, peer, &q.total} {
 		u.rpcs++
 		u.bytes += bytes
 	}
-	heap.Push(&c.line, t)
-	g.waiting++
-	if !c.inLine {
-		c.inLine = true
-		g.lines = append(g.lines, c)
-		if len(g.lines) > 2*g.waiting+spareLines {
-			g.prune()
+	heap.Push(&c.tickets, t)
+	q.waiting++
+	if !c.inWaiting {
+		c.inWaiting = true
+		q.waitingConns = append(q.waitingConns, c)
+		if len(q.waitingConns) > 2*q.waiting+maxIdleConns {
+			q.prune()
 		}
 	}
-	g.queue(c)
+	q.markReady(c)
 	return t, nil, displaced
 }
 
-func (g *Queue) refuse(why string) *Rejection { return &Rejection{"denied: " + why, g.RetryAfter()} }
+func (q *Queue) reject(reason string) *Rejection {
+	return &Rejection{"denied: " + reason, q.RetryAfter()}
+}
 
-// RetryAfter is when what waits now will have been answered, at the pace of late.
-func (g *Queue) RetryAfter() router.Time {
-	return min(g.set.MaxRetryAfter, max(router.Time(g.pace*float64(g.whole.rpcs)), g.set.MaxRetryAfter/8))
+// RetryAfter estimates the time until all RPCs open now are answered, from the recent rate of answers. It is between an
+// eighth of Settings.MaxRetryAfter and the whole of it.
+func (q *Queue) RetryAfter() router.Time {
+	return min(q.settings.MaxRetryAfter,
+		max(router.Time(q.answerInterval*float64(q.total.rpcs)), q.settings.MaxRetryAfter/8))
 }
 
-// least is the waiting ticket of least gain, the latest of those, if it is less than gain.
-func (g *Queue) least(gain float64) (worst *Ticket) {
-	g.prune()
-	for _, c := range g.lines {
-		for _, t := range c.line {
-			if t.gain < gain && (worst == nil || cmp.Or(cmp.Compare(worst.gain, t.gain), cmp.Compare(t.order, worst.order)) > 0) {
-				worst = t
+// lowestGain returns the waiting ticket of the lowest gain, of several the latest; nil: none has less than gain.
+func (q *Queue) lowestGain(gain float64) (lowest *Ticket) {
+	q.prune()
+	for _, c := range q.waitingConns {
+		for _, t := range c.tickets {
+			if t.gain < gain &&
+				(lowest == nil || cmp.Or(cmp.Compare(lowest.gain, t.gain), cmp.Compare(t.seq, lowest.seq)) > 0) {
+				lowest = t
 			}
 		}
 	}
-	return worst
+	return lowest
 }
 
-// prune forgets connections with nothing waiting.
-func (g *Queue) prune() {
-	g.lines = slices.DeleteFunc(g.lines, func(c *Conn) bool {
-		c.inLine = len(c.line) > 0
-		return !c.inLine
+// prune removes connections without waiting tickets from waitingConns.
+func (q *Queue) prune() {
+	q.waitingConns = slices.DeleteFunc(q.waitingConns, func(c *Conn) bool {
+		c.inWaiting = len(c.tickets) > 0
+		return !c.inWaiting
 	})
 }
 
-// queue puts a connection into the order of turns, where it has what may pass.
-func (g *Queue) queue(c *Conn) {
-	if !c.inTurn && len(c.line) > 0 && c.mayPass() {
-		c.inTurn = true
-		g.turns = append(g.turns, c)
+// markReady appends a connection to the ready ones if its first ticket is eligible.
+func (q *Queue) markReady(c *Conn) {
+	if !c.inReady && len(c.tickets) > 0 && c.eligible() {
+		c.inReady = true
+		q.ready = append(q.ready, c)
 	}
 }
 
-func (c *Conn) mayPass() bool {
-	h := c.g.set.MaxHeld
-	return h == 0 || c.all < heldAll*h && c.held[c.line[0].function] < h
+// eligible reports whether the connection's first ticket is within the limits of the router's queue.
+func (c *Conn) eligible() bool {
+	limit := c.queue.settings.MaxRouterQueued
+	return limit == 0 || c.queuedTotal < totalQueuedFactor*limit && c.queuedByFunction[c.tickets[0].function] < limit
 }
 
-// Next hands out the ticket whose turn it is; nil: none may pass now. It counts as held by the module.
-func (g *Queue) Next() *Ticket {
-	for len(g.turns) > 0 {
-		c := g.turns[0]
-		g.turns = append(g.turns[:0], g.turns[1:]...)
-		c.inTurn = false
-		if len(c.line) == 0 || !c.mayPass() {
+// Next admits the next ticket, which then counts as queued by the router; nil: none is eligible.
+func (q *Queue) Next() *Ticket {
+	for len(q.ready) > 0 {
+		c := q.ready[0]
+		q.ready = append(q.ready[:0], q.ready[1:]...)
+		c.inReady = false
+		if len(c.tickets) == 0 || !c.eligible() {
 			continue
 		}
-		t := heap.Pop(&c.line).(*Ticket)
-		g.waiting--
-		t.SetHeld(true)
-		g.queue(c) // its next turn comes after all others'
+		t := heap.Pop(&c.tickets).(*Ticket)
+		q.waiting--
+		t.SetRouterQueued(true)
+		q.markReady(c) // to the end of the round-robin order
 		return t
 	}
 	return nil
 }
 
-// HasNext tells whether Next has a ticket.
-func (g *Queue) HasNext() bool { return len(g.turns) > 0 }
+// HasNext reports whether Next may return a ticket.
+func (q *Queue) HasNext() bool { return len(q.ready) > 0 }
 
-// SetHeld tells whether the module holds the RPC, or it is at a worker.
-func (t *Ticket) SetHeld(held bool) {
-	if t.done || t.held == held || t.at > 0 {
+// SetRouterQueued records whether the admitted RPC waits in the router's queue or is in flight to a worker.
+func (t *Ticket) SetRouterQueued(queued bool) {
+	if t.released || t.routerQueued == queued || t.heapPos > 0 {
 		return
 	}
-	t.held = held
-	c, n := t.c, 1
-	if !held {
+	t.routerQueued = queued
+	c, n := t.conn, 1
+	if !queued {
 		n = -1
 	}
-	c.all += n
-	if c.held[t.function] += n; c.held[t.function] == 0 {
-		delete(c.held, t.function)
+	c.queuedTotal += n
+	if c.queuedByFunction[t.function] += n; c.queuedByFunction[t.function] == 0 {
+		delete(c.queuedByFunction, t.function)
 	}
-	c.g.queue(c)
+	c.queue.markReady(c)
 }
 
-// Admitted tells whether the ticket has had its turn.
-func (t *Ticket) Admitted() bool { return t.at == 0 }
+// Admitted reports whether Next has returned the ticket.
+func (t *Ticket) Admitted() bool { return t.heapPos == 0 }
 
-// Release gives the ticket back: its RPC is answered, or nobody waits for it any more.
+// Release ends the ticket, whose RPC is answered or no longer waited for.
 func (t *Ticket) Release(now router.Time) {
-	if t.done {
+	if t.released {
 		return
 	}
-	c, g := t.c, t.c.g
-	if t.at > 0 {
-		heap.Remove(&c.line, t.at-1)
-		g.waiting--
+	c, q := t.conn, t.conn.queue
+	if t.heapPos > 0 {
+		heap.Remove(&c.tickets, t.heapPos-1)
+		q.waiting--
 	} else {
-		t.SetHeld(false)
-		if g.lastDone > 0 {
-			g.pace += (float64(now-g.lastDone) - g.pace) * paceFade
+		t.SetRouterQueued(false)
+		if q.lastAnswer > 0 {
+			q.answerInterval += (float64(now-q.lastAnswer) - q.answerInterval) * answerIntervalWeight
 		}
-		g.lastDone = now
+		q.lastAnswer = now
 	}
-	t.done = true
-	peer := g.peers[c.peer]
-	for _, u := range []*use{&c.use, peer, &g.whole} {
+	t.released = true
+	peer := q.peers[c.peer]
+	for _, u := range []*usage{&c.usage, peer, &q.total} {
 		u.rpcs--
 		u.bytes -= t.bytes
 	}
 	if peer.rpcs == 0 {
-		delete(g.peers, c.peer)
+		delete(q.peers, c.peer)
 	}
-	g.queue(c)
+	q.markReady(c)
 }
 
-// line is a connection's tickets by gain, then first come.
-type line []*Ticket
+// gainHeap holds a connection's waiting tickets by highest gain, then by order of arrival.
+type gainHeap []*Ticket
 
-func (l line) Len() int { return len(l) }
-func (l line) Less(i, j int) bool {
-	return cmp.Or(cmp.Compare(l[j].gain, l[i].gain), cmp.Compare(l[i].order, l[j].order)) < 0
+func (h gainHeap) Len() int { return len(h) }
+func (h gainHeap) Less(i, j int) bool {
+	return cmp.Or(cmp.Compare(h[j].gain, h[i].gain), cmp.Compare(h[i].seq, h[j].seq)) < 0
 }
-func (l line) Swap(i, j int) {
-	l[i], l[j] = l[j], l[i]
-	l[i].at, l[j].at = i+1, j+1
+func (h gainHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].heapPos, h[j].heapPos = i+1, j+1
 }
 
 // Push implements heap.Interface.
-func (l *line) Push(x any) {
+func (h *gainHeap) Push(x any) {
 	t := x.(*Ticket)
-	*l = append(*l, t)
-	t.at = len(*l)
+	*h = append(*h, t)
+	t.heapPos = len(*h)
 }
 
 // Pop implements heap.Interface.
-func (l *line) Pop() any {
-	old := *l
+func (h *gainHeap) Pop() any {
+	old := *h
 	t := old[len(old)-1]
 	old[len(old)-1] = nil
-	*l, t.at = old[:len(old)-1], 0
+	*h, t.heapPos = old[:len(old)-1], 0
 	return t
 }
--- a/internal/admission/limits_test.go
+++ b/internal/admission/limits_test.go
@@ -10,15 +10,20 @@
 	"mallowlanding/router"
 )
 
-// Scenarios, each under a line of '== NAME', one step a line:
+// TestScenarios runs the scenarios of testdata/gate.txt. Each starts with a line '== NAME' and has one step a line:
 //
-//	gate NAME=N ...              whole, whole-bytes, peer, peer-bytes, conn, conn-bytes, held, come-back
-//	at MS                        the time
-//	arrive RPC on=C [peer=N] [fn=F] [gain=G] [bytes=N] [times=N]   want is 'waits' unless a line 'refused TEXT' or
-//	                             'displaces RPC' follows
-//	next RPC ...                 the tickets that have their turns now, in order, and no more; '-': none
-//	out RPC | held RPC | done RPC    it went to a worker, is held again, is answered
-//	waiting N                    tickets at the gate
+//	gate NAME=N ...              makes a queue; the settings are whole, whole-bytes, peer, peer-bytes, conn, conn-bytes
+//	                             (limits of RPCs and bytes), held (MaxRouterQueued) and come-back (MaxRetryAfter, in ms)
+//	at MS                        sets the time
+//	arrive RPC on=C [peer=N] [fn=F] [gain=G] [bytes=N] [times=N]
+//	                             enqueues an RPC on connection C, several times with a number appended to its name; it
+//	                             must be accepted unless a line 'refused TEXT' or 'displaces RPC' follows
+//	refused TEXT; N ms           the last arrival is rejected with this reason and time to retry after
+//	displaces RPC                the last arrival displaces another RPC
+//	next RPC ...                 the RPCs that are admitted now, in order; '-': none
+//	out RPC | held RPC           the RPC is in flight to a worker, or in the router's queue again
+//	done RPC                     the RPC is answered
+//	waiting N                    the number of RPCs that wait for admission
 func TestScenarios(t *testing.T) {
 	text, err := os.ReadFile("testdata/gate.txt")
 	if err != nil {
@@ -27,101 +32,103 @@
 	_, all, _ := strings.Cut("\n"+string(text), "\n== ")
 	for part := range strings.SplitSeq(all, "\n== ") {
 		name, steps, _ := strings.Cut(part, "\n")
-		t.Run(name, func(t *testing.T) { play(t, steps) })
+		t.Run(name, func(t *testing.T) { runScenario(t, steps) })
 	}
 }
 
-func play(t *testing.T, steps string) {
-	var g *Queue
+func runScenario(t *testing.T, steps string) {
+	var q *Queue
 	now := router.Time(0)
 	conns, tickets, names := map[string]*Conn{}, map[string]*Ticket{}, map[*Ticket]string{}
-	last := "" // what the last arrival led to, and was not looked at
+	outcome := "" // how the last arrival was rejected or displaced another RPC, if no step has checked it yet
 	for i, line := range strings.Split(steps, "\n") {
-		f := strings.Fields(line)
-		if len(f) == 0 || f[0] == "#" {
+		fields := strings.Fields(line)
+		if len(fields) == 0 || fields[0] == "#" {
 			continue
 		}
 		fail := func(format string, args ...any) { t.Fatalf("line %d, %q: %s", i+2, line, fmt.Sprintf(format, args...)) }
-		o := map[string]string{}
-		for _, word := range f[1:] {
+		options := map[string]string{}
+		for _, word := range fields[1:] {
 			if name, value, found := strings.Cut(word, "="); found {
-				o[name] = value
+				options[name] = value
 			}
 		}
-		n := func(name string, or int) int {
-			if o[name] == "" {
-				return or
+		number := func(name string, fallback int) int {
+			if options[name] == "" {
+				return fallback
 			}
-			v, err := strconv.Atoi(o[name])
+			v, err := strconv.Atoi(options[name])
 			if err != nil {
 				fail("%v", err)
 			}
 			return v
 		}
-		if f[0] != "refused" && f[0] != "displaces" && last != "" {
-			fail("before it: %s", last)
+		if fields[0] != "refused" && fields[0] != "displaces" && outcome != "" {
+			fail("unexpected outcome of the arrival before: %s", outcome)
 		}
-		switch f[0] {
+		switch fields[0] {
 		case "gate":
-			g = New(Settings{Total: Limit{n("whole", 0), int64(n("whole-bytes", 0))},
-				Peer: Limit{n("peer", 0), int64(n("peer-bytes", 0))}, Conn: Limit{n("conn", 0), int64(n("conn-bytes", 0))},
-				MaxHeld: n("held", 0), MaxRetryAfter: router.Time(n("come-back", 0)) * 10})
+			q = New(Settings{Total: Limit{number("whole", 0), int64(number("whole-bytes", 0))},
+				Peer:            Limit{number("peer", 0), int64(number("peer-bytes", 0))},
+				Conn:            Limit{number("conn", 0), int64(number("conn-bytes", 0))},
+				MaxRouterQueued: number("held", 0), MaxRetryAfter: router.Time(number("come-back", 0)) * 10})
 		case "at":
-			ms, _ := strconv.Atoi(f[1])
+			ms, _ := strconv.Atoi(fields[1])
 			now = router.Time(ms) * 10
 		case "arrive":
-			c := conns[o["on"]]
+			c := conns[options["on"]]
 			if c == nil {
-				c = g.OpenConn(PeerID(n("peer", 0)))
-				conns[o["on"]] = c
+				c = q.OpenConn(PeerID(number("peer", 0)))
+				conns[options["on"]] = c
 			}
-			for k := range n("times", 1) {
-				name := f[1]
-				if o["times"] != "" {
+			for k := range number("times", 1) {
+				name := fields[1]
+				if options["times"] != "" {
 					name += strconv.Itoa(k + 1)
 				}
-				ticket, refused, displaced := c.Enqueue(now, o["fn"], int64(n("bytes", 0)), float64(n("gain", 1)), name)
-				if refused != nil {
-					last = fmt.Sprintf("refused %s; %d ms", refused.Reason, refused.RetryAfter/10)
+				ticket, rejection, displaced := c.Enqueue(now, options["fn"], int64(number("bytes", 0)),
+					float64(number("gain", 1)), name)
+				if rejection != nil {
+					outcome = fmt.Sprintf("refused %s; %d ms", rejection.Reason, rejection.RetryAfter/10)
 					continue
 				}
 				tickets[name], names[ticket] = ticket, name
 				if displaced != nil {
-					last = "displaces " + names[displaced]
+					outcome = "displaces " + names[displaced]
 				}
 			}
 		case "refused", "displaces":
-			if want := strings.Join(f, " "); last != want {
-				fail("%s", last)
+			if want := strings.Join(fields, " "); outcome != want {
+				fail("got %s", outcome)
 			}
-			last = ""
+			outcome = ""
 		case "next":
 			got := []string{}
-			for ticket := g.Next(); ticket != nil; ticket = g.Next() {
+			for ticket := q.Next(); ticket != nil; ticket = q.Next() {
 				got = append(got, names[ticket])
 			}
 			if len(got) == 0 {
 				got = []string{"-"}
 			}
-			if g, w := strings.Join(got, " "), strings.Join(f[1:], " "); g != w {
-				fail("%s", g)
+			if admitted, want := strings.Join(got, " "), strings.Join(fields[1:], " "); admitted != want {
+				fail("admitted %s", admitted)
 			}
 		case "out":
-			tickets[f[1]].SetHeld(false)
+			tickets[fields[1]].SetRouterQueued(false)
 		case "held":
-			tickets[f[1]].SetHeld(true)
+			tickets[fields[1]].SetRouterQueued(true)
 		case "done":
-			tickets[f[1]].Release(now)
+			tickets[fields[1]].Release(now)
 		case "waiting":
-			if g.Waiting() != mustInt(f[1]) {
-				fail("%d wait", g.Waiting())
+			if q.Waiting() != mustInt(fields[1]) {
+				fail("%d RPCs are waiting", q.Waiting())
 			}
 		default:
 			fail("unknown step")
 		}
 	}
-	if last != "" {
-		t.Fatalf("at the end: %s", last)
+	if outcome != "" {
+		t.Fatalf("unexpected outcome of the last arrival: %s", outcome)
 	}
 }
 
@@ -133,20 +140,20 @@
 	return n
 }
 
-// BenchmarkGate is one RPC past a gate at which ten thousand wait.
+// BenchmarkGate measures the admission of one RPC while another connection has nearly ten thousand RPCs waiting.
 func BenchmarkGate(b *testing.B) {
-	g := New(Settings{MaxHeld: 16})
-	flood, one := g.OpenConn(1), g.OpenConn(2)
+	q := New(Settings{MaxRouterQueued: 16})
+	busy, single := q.OpenConn(1), q.OpenConn(2)
 	for range 10000 {
-		flood.Enqueue(0, "f", 100, 1, nil)
+		busy.Enqueue(0, "f", 100, 1, nil)
 	}
-	for t := g.Next(); t != nil; t = g.Next() {
+	for t := q.Next(); t != nil; t = q.Next() {
 	}
 	b.ReportAllocs()
 	for range b.N {
-		t, _, _ := one.Enqueue(1, "f", 100, 1, nil)
-		if g.Next() != t {
-			b.Fatal("it waits behind the flood")
+		t, _, _ := single.Enqueue(1, "f", 100, 1, nil)
+		if q.Next() != t {
+			b.Fatal("the RPC waits behind those of the other connection")
 		}
 		t.Release(2)
 	}
--- a/internal/dispatch/explore_test.go
+++ b/internal/dispatch/explore_test.go
@@ -70,7 +70,7 @@
 		settingkeys.Join(settingkeys.May, settingkeys.CallOuts):      3.0,
 		settingkeys.Join(settingkeys.May, settingkeys.Retract):       true}})
 	s.dispatcher = New(s.engine, Options{Methods: []engine.Method{method},
-		Limits: admission.Settings{MaxHeld: 64, MaxRetryAfter: 5000},
+		Limits: admission.Settings{MaxRouterQueued: 64, MaxRetryAfter: 5000},
 		FunctionSpec: func(int, string) engine.FunctionSpec {
 			return engine.FunctionSpec{MemoryMB: 100, Lanes: 4, LoadTime: 1000}
 		}})
--- a/internal/dispatch/front.go
+++ b/internal/dispatch/front.go
@@ -291,7 +291,7 @@
 			return
 		case dedup.Joined:
 			r.execution = d.executions[shared]
-			r.ticket.SetHeld(false)
+			r.ticket.SetRouterQueued(false)
 			d.timers.Set(&r.expiryTimer, r.expiresAt-d.options.AnswerMargin, func(router.Time) { r.expire() })
 			return
 		}
@@ -426,4 +426,4 @@
 }
 
 // QueuedChanged implements engine.Client.
-func (e *execution) QueuedChanged(queued bool) { e.leader.ticket.SetHeld(queued) }
+func (e *execution) QueuedChanged(queued bool) { e.leader.ticket.SetRouterQueued(queued) }
--- a/internal/settings/configuration.go
+++ b/internal/settings/configuration.go
@@ -225,7 +225,7 @@
 	}
 	return admission.Settings{Total: admission.Limit{RPCs: c.TotalOpen, Bytes: c.TotalBytes},
 		Peer: admission.Limit{RPCs: c.PeerOpen, Bytes: c.PeerBytes}, Conn: admission.Limit{RPCs: c.Open, Bytes: c.OpenBytes},
-		MaxHeld: c.Held, MaxRetryAfter: back}
+		MaxRouterQueued: c.Held, MaxRetryAfter: back}
 }
 
 // CustomerNames are the customers' by place, empty where one is gone.
