--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -27,7 +27,7 @@
 	OK(result, blob []byte)        // blob: the result's binary part, for an RPC that came with one
 	Denied(retryAfter router.Time) // 0: no advice when to retry
 	Aborted(cause string)
-	QueuedChanged(held bool) // whether the RPC waits in the router or is in flight to a worker
+	QueuedChanged(queued bool) // whether the RPC waits in the router or is in flight to a worker
 }
 
 // Link sends to one worker. Its methods don't block; their results are reported to the engine in a later turn. A link
