--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -1,5 +1,6 @@
-// Package batch decides which RPCs ride one call-out together: those of one function to one worker that come within a
-// short wait. It only delays; where each RPC goes is the module's, and each keeps its own end. No I/O, no clock.
+// Package batch collects RPCs of one function that go to the same worker within a short time, to be sent in one
+// call-out. It only delays RPCs: the router has already chosen their worker, and each RPC ends on its own. It does no
+// I/O and has no clock.
 package batch
 
 import (
@@ -8,87 +9,90 @@
 	"mallowlanding/router"
 )
 
-// softPart is the part of the time left to an RPC's soft deadline that a wait for others may take at most: the rest is
-// for the way, the line at the worker and the work.
-const softPart = 8
+// softDeadlineDivisor limits the wait of an RPC to an eighth of the time left to its soft deadline. The rest is needed
+// for transport, queueing at the worker and execution.
+const softDeadlineDivisor = 8
 
-// Batcher hold what waits, by key: one for each worker and function.
+// Batcher holds the RPCs that wait in batches, one batch for each key, which stands for a worker and a function.
 type Batcher[Key, Item comparable] struct {
-	lines map[Key]*line[Item]
-	order []Key // of lines, as they began
+	batches map[Key]*pending[Item]
+	order   []Key // of batches, in the order in which they were begun
 }
 
-type line[Item comparable] struct {
-	items []Item
-	most  int
-	leave router.Time
+// pending is a batch that has not been sent.
+type pending[Item comparable] struct {
+	items    []Item
+	maxItems int
+	due      router.Time
 }
 
-// New starts with nothing waiting.
+// New makes an empty batcher.
 func New[Key, Item comparable]() *Batcher[Key, Item] {
-	return &Batcher[Key, Item]{lines: map[Key]*line[Item]{}}
+	return &Batcher[Key, Item]{batches: map[Key]*pending[Item]{}}
 }
 
-// Add takes an RPC that may ride with others: at most so many, waiting no longer than wait, and no longer than its
-// part of the time left to its soft deadline. It returns a batch that is full, or that may not wait.
-func (l *Batcher[Key, Item]) Add(now router.Time, key Key, item Item, most int, wait, softLeft router.Time) []Item {
-	leave := now + max(0, min(wait, softLeft/softPart))
-	at := l.lines[key]
-	if at == nil {
-		at = &line[Item]{leave: leave}
-		l.lines[key] = at
-		l.order = append(l.order, key)
+// Add adds an RPC to the batch of its key, which holds at most maxItems RPCs. The RPC waits no longer than wait, and no
+// longer than an eighth of softLeft, the time left to its soft deadline. Add returns the batch if it is full or due now,
+// and nil otherwise.
+func (b *Batcher[Key, Item]) Add(now router.Time, key Key, item Item, maxItems int, wait, softLeft router.Time) []Item {
+	due := now + max(0, min(wait, softLeft/softDeadlineDivisor))
+	p := b.batches[key]
+	if p == nil {
+		p = &pending[Item]{due: due}
+		b.batches[key] = p
+		b.order = append(b.order, key)
 	}
-	at.items = append(at.items, item)
-	at.most = most
-	at.leave = min(at.leave, leave)
-	if len(at.items) >= at.most || at.leave <= now {
-		return l.take(key)
+	p.items = append(p.items, item)
+	p.maxItems = maxItems
+	p.due = min(p.due, due)
+	if len(p.items) >= p.maxItems || p.due <= now {
+		return b.pop(key)
 	}
 	return nil
 }
 
-// Remove takes an RPC out that has not left: its client has gone. It reports whether it was there.
-func (l *Batcher[Key, Item]) Remove(key Key, item Item) bool {
-	at := l.lines[key]
-	if at == nil {
+// Remove removes an RPC whose client left from its batch. It reports whether the RPC was still waiting.
+func (b *Batcher[Key, Item]) Remove(key Key, item Item) bool {
+	p := b.batches[key]
+	if p == nil {
 		return false
 	}
-	i := slices.Index(at.items, item)
+	i := slices.Index(p.items, item)
 	if i < 0 {
 		return false
 	}
-	at.items = slices.Delete(at.items, i, i+1)
-	if len(at.items) == 0 {
-		l.take(key)
+	p.items = slices.Delete(p.items, i, i+1)
+	if len(p.items) == 0 {
+		b.pop(key)
 	}
 	return true
 }
 
-// NextDue tells when the first batch leaves.
-func (l *Batcher[Key, Item]) NextDue() (due router.Time, any bool) {
-	for _, key := range l.order {
-		if at := l.lines[key]; !any || at.leave < due {
-			due, any = at.leave, true
+// NextDue returns when the next batch is due; false: none is waiting.
+func (b *Batcher[Key, Item]) NextDue() (due router.Time, ok bool) {
+	for _, key := range b.order {
+		if p := b.batches[key]; !ok || p.due < due {
+			due, ok = p.due, true
 		}
 	}
-	return due, any
+	return due, ok
 }
 
-// PopDue gives the next batch whose wait is over; nil: there is none.
-func (l *Batcher[Key, Item]) PopDue(now router.Time) (Key, []Item) {
-	for _, key := range l.order {
-		if l.lines[key].leave <= now {
-			return key, l.take(key)
+// PopDue removes and returns the next batch that is due; nil: none is.
+func (b *Batcher[Key, Item]) PopDue(now router.Time) (Key, []Item) {
+	for _, key := range b.order {
+		if b.batches[key].due <= now {
+			return key, b.pop(key)
 		}
 	}
 	var none Key
 	return none, nil
 }
 
-func (l *Batcher[Key, Item]) take(key Key) []Item {
-	items := l.lines[key].items
-	delete(l.lines, key)
-	l.order = slices.DeleteFunc(l.order, func(k Key) bool { return k == key })
+// pop removes and returns the batch of a key.
+func (b *Batcher[Key, Item]) pop(key Key) []Item {
+	items := b.batches[key].items
+	delete(b.batches, key)
+	b.order = slices.DeleteFunc(b.order, func(k Key) bool { return k == key })
 	return items
 }
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -9,11 +9,15 @@
 	"mallowlanding/router"
 )
 
-// Scenarios, each under a line of '== NAME', one step a line (times in ms):
+// TestScenarios runs the scenarios of testdata/lines.txt. Each starts with a line '== NAME' and has one step a line,
+// with times in ms:
 //
-//	add KEY ITEM most=N wait=MS soft=MS | drop KEY ITEM | at MS
-//	leaves ITEM ...       the batch that the last step let go, or that is due now; '-': none
-//	due MS                when the next one leaves; '-': nothing waits
+//	add KEY ITEM most=N wait=MS soft=MS
+//	                      adds an item: maxItems, wait and softLeft of Batcher.Add
+//	drop KEY ITEM         removes an item, which must be waiting
+//	at MS                 sets the time
+//	leaves ITEM ...       the batch that the last add returned, or that is due now; '-': none
+//	due MS                when the next batch is due; '-': none is waiting
 func TestScenarios(t *testing.T) {
 	text, err := os.ReadFile("testdata/lines.txt")
 	if err != nil {
@@ -23,44 +27,45 @@
 	for part := range strings.SplitSeq(all, "\n== ") {
 		name, steps, _ := strings.Cut(part, "\n")
 		t.Run(name, func(t *testing.T) {
-			l, now, out := New[string, string](), router.Time(0), []string(nil)
+			b, now, batch := New[string, string](), router.Time(0), []string(nil)
 			for i, step := range strings.Split(steps, "\n") {
-				f := strings.Fields(step)
-				if len(f) == 0 {
+				fields := strings.Fields(step)
+				if len(fields) == 0 {
 					continue
 				}
-				got, want := "", strings.Join(f[1:], " ")
+				got, want := "", strings.Join(fields[1:], " ")
 				var ms router.Time
-				switch f[0] {
+				switch fields[0] {
 				case "add":
-					var most int
+					var maxItems int
 					var wait, soft router.Time
-					if _, err := fmt.Sscanf(strings.Join(f[3:], " "), "most=%d wait=%d soft=%d", &most, &wait, &soft); err != nil {
+					if _, err := fmt.Sscanf(strings.Join(fields[3:], " "), "most=%d wait=%d soft=%d",
+						&maxItems, &wait, &soft); err != nil {
 						t.Fatalf("line %d, %q: %v", i+2, step, err)
 					}
-					out = l.Add(now, f[1], f[2], most, wait*10, soft*10)
+					batch = b.Add(now, fields[1], fields[2], maxItems, wait*10, soft*10)
 					continue
 				case "drop":
-					if !l.Remove(f[1], f[2]) {
-						t.Fatalf("line %d, %q: it is not there", i+2, step)
+					if !b.Remove(fields[1], fields[2]) {
+						t.Fatalf("line %d, %q: the item is not waiting", i+2, step)
 					}
 					continue
 				case "at":
-					if _, err := fmt.Sscan(f[1], &ms); err != nil {
+					if _, err := fmt.Sscan(fields[1], &ms); err != nil {
 						t.Fatal(err)
 					}
 					now = ms * 10
 					continue
 				case "leaves":
-					if out == nil {
-						_, out = l.PopDue(now)
+					if batch == nil {
+						_, batch = b.PopDue(now)
 					}
-					if got = strings.Join(out, " "); got == "" {
+					if got = strings.Join(batch, " "); got == "" {
 						got = "-"
 					}
-					out = nil
+					batch = nil
 				case "due":
-					if due, any := l.NextDue(); !any {
+					if due, ok := b.NextDue(); !ok {
 						got = "-"
 					} else {
 						got = fmt.Sprint(due / 10)
@@ -69,7 +74,7 @@
 					t.Fatalf("line %d: unknown step %q", i+2, step)
 				}
 				if got != want {
-					t.Fatalf("line %d, %q: %s", i+2, step, got)
+					t.Fatalf("line %d, %q: got %s", i+2, step, got)
 				}
 			}
 		})
