--- a/internal/dedup/repeats.go
+++ b/internal/dedup/repeats.go
@@ -1,97 +1,100 @@
-// Package dedup decides what a tokened RPC does that comes while one of the same token is still at work here: it
-// joins it, and both get its answer, or it runs beside it, or it is refused. No I/O, no clock.
+// Package dedup decides what happens to a tokened RPC that arrives while another of the same token is open at this front
+// end: if both are the same request, the second joins the first and gets its answer; if not, it is refused. The package
+// does no I/O and has no clock.
 //
-// Within one front end a repeat joins: a second call-out would ask the workers' memory of tokens for what is known
-// here. Across front ends that memory decides, within its group and window.
+// Joining saves a second call-out, which the worker would recognize as a repeat by its own record of tokens. Between
+// front ends only the workers' record recognizes repeats, within the method's group and window.
 package dedup
 
 import "hash/maphash"
 
-// Key is what must be alike for two RPCs to be the same one.
+// Key identifies an RPC: a repeat has the same key.
 type Key struct {
 	Method   string
 	Customer string
 	Token    string
 }
 
-// Decision is what becomes of an RPC that comes.
+// Decision says what happens to a new RPC.
 type Decision uint8
 
 // Decisions.
 const (
-	First       Decision = iota // none of that token is open: it goes its way
-	Joined                      // it waits for the open one's answer
-	Conflicting                 // one of that token is open, but asks for something else: refused
+	First       Decision = iota // no RPC of its key is open: it is run
+	Joined                      // it waits for the answer of the open RPC
+	Conflicting                 // the open RPC of its key has another function or payload: it is refused
 )
 
-// Tracker are a front end's tokened RPCs at work, each with those that joined it.
+// Tracker holds a front end's open tokened RPCs, each with the requests that wait for it.
 type Tracker[Waiter comparable] struct {
 	seed maphash.Seed
 	rpcs map[Key]*SharedRPC[Waiter]
 }
 
-// SharedRPC is one RPC at work and all who wait for it.
+// SharedRPC is one open RPC and all that wait for its answer.
 type SharedRPC[Waiter comparable] struct {
-	o       *Tracker[Waiter]
-	key     Key
-	what    uint64
-	waiters []Waiter
-	over    bool
+	tracker  *Tracker[Waiter]
+	key      Key
+	digest   uint64 // of the function and the payload
+	waiters  []Waiter
+	finished bool
 }
 
-// New starts with none open.
+// New makes an empty tracker.
 func New[Waiter comparable]() *Tracker[Waiter] {
 	return &Tracker[Waiter]{seed: maphash.MakeSeed(), rpcs: map[Key]*SharedRPC[Waiter]{}}
 }
 
-// Add takes an RPC: its function and the parts of its payload say what it asks for.
-func (o *Tracker[Waiter]) Add(key Key, function string, w Waiter, payload ...[]byte) (*SharedRPC[Waiter], Decision) {
-	var h maphash.Hash
-	h.SetSeed(o.seed)
-	_, _ = h.WriteString(function)
+// Add adds an RPC for the waiter w. The open RPC of its key is the same one if its function and the parts of its payload
+// are equal, compared by a hash.
+func (t *Tracker[Waiter]) Add(key Key, function string, w Waiter, payload ...[]byte) (*SharedRPC[Waiter], Decision) {
+	var hash maphash.Hash
+	hash.SetSeed(t.seed)
+	_, _ = hash.WriteString(function)
 	for _, part := range payload {
-		_ = h.WriteByte(0)
-		_, _ = h.Write(part)
+		_ = hash.WriteByte(0)
+		_, _ = hash.Write(part)
 	}
-	what := h.Sum64()
-	if g := o.rpcs[key]; g != nil {
-		if g.what != what {
+	digest := hash.Sum64()
+	if s := t.rpcs[key]; s != nil {
+		if s.digest != digest {
 			return nil, Conflicting
 		}
-		g.waiters = append(g.waiters, w)
-		return g, Joined
+		s.waiters = append(s.waiters, w)
+		return s, Joined
 	}
-	g := &SharedRPC[Waiter]{o: o, key: key, what: what, waiters: []Waiter{w}}
-	o.rpcs[key] = g
-	return g, First
+	s := &SharedRPC[Waiter]{tracker: t, key: key, digest: digest, waiters: []Waiter{w}}
+	t.rpcs[key] = s
+	return s, First
 }
 
-// Remove takes a waiter out. It tells whether nobody waits any more: the RPC itself is then left.
-func (g *SharedRPC[Waiter]) Remove(w Waiter) (last bool) {
-	for i := range g.waiters {
-		if g.waiters[i] == w {
-			g.waiters = append(g.waiters[:i:i], g.waiters[i+1:]...)
+// Remove removes a waiter. It reports whether that was the last one; the RPC is then no longer tracked.
+func (s *SharedRPC[Waiter]) Remove(w Waiter) (last bool) {
+	for i := range s.waiters {
+		if s.waiters[i] == w {
+			s.waiters = append(s.waiters[:i:i], s.waiters[i+1:]...)
 			break
 		}
 	}
-	if len(g.waiters) > 0 || g.over {
+	if len(s.waiters) > 0 || s.finished {
 		return false
 	}
-	g.end()
+	s.finish()
 	return true
 }
 
-// Finish ends the RPC and returns who waits, in the order in which they came.
-func (g *SharedRPC[Waiter]) Finish() []Waiter {
-	w := g.waiters
-	g.waiters = nil
-	g.end()
-	return w
+// Finish ends the RPC and returns its waiters in the order in which they were added.
+func (s *SharedRPC[Waiter]) Finish() []Waiter {
+	waiters := s.waiters
+	s.waiters = nil
+	s.finish()
+	return waiters
 }
 
-func (g *SharedRPC[Waiter]) end() {
-	if !g.over {
-		g.over = true
-		delete(g.o.rpcs, g.key)
+// finish ends the tracking of the RPC.
+func (s *SharedRPC[Waiter]) finish() {
+	if !s.finished {
+		s.finished = true
+		delete(s.tracker.rpcs, s.key)
 	}
 }
