--- a/internal/cancellation/leave.go
+++ b/internal/cancellation/leave.go
@@ -1,110 +1,115 @@
-// Package cancellation decides what is owed when somebody leaves or cancels: whether an RPC that was called off may be
-// denied or must be aborted, how long its worker is waited for, and which load orders nobody wants any more. No I/O,
-// no clock; docs/design/unix-clients.md has the states.
+// Package cancellation decides what happens when a client leaves or cancels: whether a cancelled RPC is denied or
+// aborted, whether to wait for its call-outs first, and which load orders are no longer needed. It does no I/O and has
+// no clock. docs/design/unix-clients.md describes the states.
 package cancellation
 
 import "mallowlanding/router"
 
-// Verdict is what a cancelled RPC gets.
+// Verdict is the answer to a cancelled RPC.
 type Verdict uint8
 
 // Verdicts.
 const (
-	Wait  Verdict = iota // its call-outs were called off; one may still bring a result, or proof that it never ran
+	Wait  Verdict = iota // its call-outs are cancelled; one may still bring a result, or proof that the RPC never ran
 	Deny                 // a retry is harmless
 	Abort                // it may have run
 )
 
-// RPC follows one RPC's call-outs as far as leaving needs to know. The zero value with Effect and Group set is one
-// without call-outs.
+// RPC tracks the call-outs of one RPC. A value with only Effect and Group set, which are those of the RPC's method, has
+// had no call-outs.
 type RPC struct {
 	Effect, Group string
-	out           int
-	may           bool // a call-out that is over may have run
+	inFlight      int
+	mayHaveRun    bool // a call-out that has ended may have run
 	cancelled     bool
 }
 
-// Tighten tells that the method's settings changed while the RPC is open; see router.Stricter.
+// Tighten applies changed settings of the method to an open RPC, for which the stricter of both effects holds; see
+// router.StricterEffect.
 func (r *RPC) Tighten(effect, group string) {
 	r.Effect, r.Group, _ = router.StricterEffect(r.Effect, r.Group, 0, effect, group, 0)
 }
 
-// CallOutSent tells of a call-out.
-func (r *RPC) CallOutSent() { r.out++ }
+// CallOutSent records a call-out.
+func (r *RPC) CallOutSent() { r.inFlight++ }
 
-// CallOutEnded tells how one ended. A worker that dropped it before it began says so: Full, and never ran.
-func (r *RPC) CallOutEnded(o router.Outcome) {
-	r.out--
-	switch o {
+// CallOutEnded records how a call-out ended. A worker that drops a cancelled call-out before running it reports
+// router.Full, so the RPC has not run there.
+func (r *RPC) CallOutEnded(outcome router.Outcome) {
+	r.inFlight--
+	switch outcome {
 	case router.Full, router.ConnectFailed, router.NotSent, router.NotLoaded:
 	default:
-		r.may = true
+		r.mayHaveRun = true
 	}
 }
 
-// Cancel notes that the client wants no result any more; Verdict tells what it gets.
+// Cancel records that the client has cancelled. Verdict then returns the answer.
 func (r *RPC) Cancel() { r.cancelled = true }
 
-// Cancelled tells whether the client has cancelled.
+// Cancelled reports whether the client has cancelled.
 func (r *RPC) Cancelled() bool { return r.cancelled }
 
-// Verdict is what a cancelled RPC gets now. A denial promises that a retry is harmless: nothing may have run, or a
-// repeat of what did has no effect.
+// Verdict returns the answer to a cancelled RPC, or Wait while a call-out is in flight. A denial promises that a retry
+// is harmless: either the RPC has not run, or running it again has no further effect.
 func (r *RPC) Verdict() Verdict {
-	if r.out > 0 {
+	if r.inFlight > 0 {
 		return Wait
 	}
-	return r.final(r.may)
+	return r.verdict(r.mayHaveRun)
 }
 
-// VerdictOnTimeout is what it gets when its workers have been waited for long enough: what is still out may have run.
-func (r *RPC) VerdictOnTimeout() Verdict { return r.final(r.may || r.out > 0) }
+// VerdictOnTimeout returns the answer to an RPC that is not waited for any longer. Call-outs still in flight may have
+// run.
+func (r *RPC) VerdictOnTimeout() Verdict { return r.verdict(r.mayHaveRun || r.inFlight > 0) }
 
-func (r *RPC) final(may bool) Verdict {
-	if may && (r.Effect == router.SideEffecting || r.Effect == router.Tokened && r.Group != "all") {
+// verdict denies an RPC if a retry is harmless, and aborts it otherwise. After a tokened RPC may have run, a retry is
+// harmless only if all workers recognize it as a repeat.
+func (r *RPC) verdict(mayHaveRun bool) Verdict {
+	if mayHaveRun && (r.Effect == router.SideEffecting || r.Effect == router.Tokened && r.Group != "all") {
 		return Abort
 	}
 	return Deny
 }
 
-// LoadDemand follows who wants a function: its RPCs that are open, and the load orders given for it.
+// LoadDemand tracks the open RPCs and the load orders of each function.
 type LoadDemand[Order comparable] struct {
-	open   map[router.FunctionID]int
-	orders map[router.FunctionID][]Order
+	openRPCs map[router.FunctionID]int
+	orders   map[router.FunctionID][]Order
 }
 
-// NewLoadDemand starts with nothing wanted.
+// NewLoadDemand makes a LoadDemand without RPCs and orders.
 func NewLoadDemand[Order comparable]() *LoadDemand[Order] {
-	return &LoadDemand[Order]{open: map[router.FunctionID]int{}, orders: map[router.FunctionID][]Order{}}
+	return &LoadDemand[Order]{openRPCs: map[router.FunctionID]int{}, orders: map[router.FunctionID][]Order{}}
 }
 
-// RPCOpened tells of an open RPC.
-func (w *LoadDemand[Order]) RPCOpened(fn router.FunctionID) { w.open[fn]++ }
+// RPCOpened records a new RPC of a function.
+func (d *LoadDemand[Order]) RPCOpened(fn router.FunctionID) { d.openRPCs[fn]++ }
 
-// RPCClosed tells that an RPC is open no more. Left: its client left or cancelled, so that its wish is void; an answered
-// RPC's order may serve the next. It returns the orders that nobody wants any more, in the order in which they were
-// given.
-func (w *LoadDemand[Order]) RPCClosed(fn router.FunctionID, left bool) []Order {
-	if w.open[fn]--; w.open[fn] > 0 {
+// RPCClosed records that an RPC is no longer open. ClientLeft: its client left or cancelled, and the load orders of the
+// function are no longer needed if no other RPC of it is open. Orders of an answered RPC stay, since they may serve the
+// next one. RPCClosed returns the orders that are no longer needed, in the order in which they were sent.
+func (d *LoadDemand[Order]) RPCClosed(fn router.FunctionID, clientLeft bool) []Order {
+	if d.openRPCs[fn]--; d.openRPCs[fn] > 0 {
 		return nil
 	}
-	delete(w.open, fn)
-	if !left {
+	delete(d.openRPCs, fn)
+	if !clientLeft {
 		return nil
 	}
-	void := w.orders[fn]
-	delete(w.orders, fn)
-	return void
+	unwanted := d.orders[fn]
+	delete(d.orders, fn)
+	return unwanted
 }
 
-// OrderSent tells of a load order under way.
-func (w *LoadDemand[Order]) OrderSent(fn router.FunctionID, o Order) {
-	w.orders[fn] = append(w.orders[fn], o)
+// OrderSent records a load order in flight.
+func (d *LoadDemand[Order]) OrderSent(fn router.FunctionID, o Order) {
+	d.orders[fn] = append(d.orders[fn], o)
 }
 
-// OrderEnded tells that an order is over.
-func (w *LoadDemand[Order]) OrderEnded(fn router.FunctionID, o Order) {
-	orders := w.orders[fn]
+// OrderEnded records the end of a load order.
+func (d *LoadDemand[Order]) OrderEnded(fn router.FunctionID, o Order) {
+	orders := d.orders[fn]
 	for i := range orders {
 		if orders[i] == o {
 			orders = append(orders[:i:i], orders[i+1:]...)
@@ -112,8 +117,8 @@
 		}
 	}
 	if len(orders) == 0 {
-		delete(w.orders, fn)
+		delete(d.orders, fn)
 		return
 	}
-	w.orders[fn] = orders
+	d.orders[fn] = orders
 }
