--- a/internal/access/access.go
+++ b/internal/access/access.go
@@ -1,4 +1,5 @@
-// Package access decides what a peer may ask for, by the user and group ids of its process. No I/O.
+// Package access decides which methods and customers a peer may use, by the user and group id of its process. It does no
+// I/O.
 package access
 
 import (
@@ -6,45 +7,46 @@
 	"slices"
 )
 
-// Rule lets in peers whose ids match; an id below 0 matches any.
+// Rule allows access to peers whose ids match. An id below 0 matches any.
 type Rule struct {
 	UID, GID  int64
-	Methods   []string // none: all
-	Customers []string // likewise
+	Methods   []string // empty: all
+	Customers []string // empty: all
 }
 
-// Rules is the rules in order; an empty list lets everybody in.
+// Rules are applied in order. An empty list gives all peers full access.
 type Rules []Rule
 
-// Permissions is what one peer may do: the first rule that matches it.
+// Permissions are those of one peer, given by the first rule that matches it.
 type Permissions struct {
-	who  string
-	rule *Rule
+	peer string // its ids, for errors
+	rule *Rule  // nil: no restrictions
 }
 
-// Authorize finds a peer's right. Gid is the primary group of its process: a socket tells no others.
-func (l Rules) Authorize(uid, gid int64) (Permissions, error) {
-	r := Permissions{who: fmt.Sprintf("uid %d, gid %d", uid, gid)}
-	if len(l) == 0 {
-		return r, nil
+// Authorize returns the permissions of a peer, or an error if no rule matches. Gid is the primary group of the peer's
+// process, because a socket reports no other groups.
+func (rules Rules) Authorize(uid, gid int64) (Permissions, error) {
+	p := Permissions{peer: fmt.Sprintf("uid %d, gid %d", uid, gid)}
+	if len(rules) == 0 {
+		return p, nil
 	}
-	for i := range l {
-		if (l[i].UID < 0 || l[i].UID == uid) && (l[i].GID < 0 || l[i].GID == gid) {
-			r.rule = &l[i]
-			return r, nil
+	for i := range rules {
+		if (rules[i].UID < 0 || rules[i].UID == uid) && (rules[i].GID < 0 || rules[i].GID == gid) {
+			p.rule = &rules[i]
+			return p, nil
 		}
 	}
-	return r, fmt.Errorf("not allowed: %s is on no list", r.who)
+	return p, fmt.Errorf("not allowed: %s is on no list", p.peer)
 }
 
-// Check tells whether the peer may ask for this method for this customer; an empty customer is none.
-func (r Permissions) Check(method, customer string) error {
+// Check returns an error if the peer may not use the method or the customer. An empty customer means none.
+func (p Permissions) Check(method, customer string) error {
 	switch {
-	case r.rule == nil:
-	case len(r.rule.Methods) > 0 && !slices.Contains(r.rule.Methods, method):
-		return fmt.Errorf("not allowed: %s may not ask for method %q", r.who, method)
-	case customer != "" && len(r.rule.Customers) > 0 && !slices.Contains(r.rule.Customers, customer):
-		return fmt.Errorf("not allowed: %s may not ask for customer %q", r.who, customer)
+	case p.rule == nil:
+	case len(p.rule.Methods) > 0 && !slices.Contains(p.rule.Methods, method):
+		return fmt.Errorf("not allowed: %s may not ask for method %q", p.peer, method)
+	case customer != "" && len(p.rule.Customers) > 0 && !slices.Contains(p.rule.Customers, customer):
+		return fmt.Errorf("not allowed: %s may not ask for customer %q", p.peer, customer)
 	}
 	return nil
 }
