--- a/internal/nameid/ident_test.go
+++ b/internal/nameid/ident_test.go
@@ -8,32 +8,35 @@
 	"mallowlanding/router"
 )
 
-// Ids are fixed for ever: front ends of different builds must agree. XXH64 of "" and "a" are published vectors.
+// TestIDs checks that ids never change: front ends of different builds must agree on them. The values for "" and "a" are
+// published test vectors of XXH64.
 func TestIDs(t *testing.T) {
 	if Function("") != 0xef46db3751d8e999 || Function("a") != 0xd24ec4f1a98c6e5b || Worker("a") != 0xd24ec4f1 {
-		t.Errorf("%x %x %x", Function(""), Function("a"), Worker("a"))
+		t.Errorf("got %x %x %x", Function(""), Function("a"), Worker("a"))
 	}
 }
 
-func TestDistinct(t *testing.T) {
-	// two workers' names that meet, found by trying
+// TestCheckDistinct checks the errors for two names with the same id and for a name that occurs twice.
+func TestCheckDistinct(t *testing.T) {
+	// Search for two worker names with the same id.
 	seen := map[router.WorkerID]string{}
-	one, two := "", ""
-	for i := 0; one == ""; i++ {
+	first, second := "", ""
+	for i := 0; first == ""; i++ {
 		name := "w" + strconv.Itoa(i)
-		if other, met := seen[Worker(name)]; met {
-			one, two = other, name
+		if other, found := seen[Worker(name)]; found {
+			first, second = other, name
 		}
 		seen[Worker(name)] = name
 	}
-	err := CheckDistinct([]string{"x", one, two}, Worker)
-	if err == nil || !strings.Contains(err.Error(), strconv.Quote(one)) || !strings.Contains(err.Error(), strconv.Quote(two)) {
-		t.Errorf("%q and %q: %v", one, two, err)
+	err := CheckDistinct([]string{"x", first, second}, Worker)
+	if err == nil || !strings.Contains(err.Error(), strconv.Quote(first)) ||
+		!strings.Contains(err.Error(), strconv.Quote(second)) {
+		t.Errorf("%q and %q have the same id: got error %v", first, second, err)
 	}
 	if err := CheckDistinct([]string{"x", "y", "x"}, Worker); err == nil || !strings.Contains(err.Error(), `"x" stands twice`) {
-		t.Errorf("twice: %v", err)
+		t.Errorf("a name that occurs twice: got error %v", err)
 	}
-	if err := CheckDistinct([]string{"x", "y", one}, Worker); err != nil {
+	if err := CheckDistinct([]string{"x", "y", first}, Worker); err != nil {
 		t.Error(err)
 	}
 }
