--- a/internal/operatorsettings/site.go
+++ b/internal/operatorsettings/site.go
@@ -1,5 +1,5 @@
-// Package operatorsettings reads the settings that an instance is given by the operators, under their names and in their units,
-// and hands them on under ours. The bench's adapter and the front end on the platform share it.
+// Package operatorsettings translates the settings that operators give an instance, with their own names and units, to
+// the router's names and units. It is used by packages simadapter and platform.
 package operatorsettings
 
 import (
@@ -13,47 +13,53 @@
 	"mallowlanding/router"
 )
 
-// words maps the wire's names to ours. Names that are not here are passed over.
-var words = map[string]string{
-	"balancers": settingkeys.FrontEnds, "myNumber": settingkeys.Me, "zone": settingkeys.Zone, "tickNs": settingkeys.Tick,
-	"ceilings": settingkeys.May, "cancel": settingkeys.Retract, "connectTimeoutNs": settingkeys.ConnectTimeout, "mayProbe": settingkeys.Check,
-	"mostTries": settingkeys.CallOuts, "maxRetryAfterNs": settingkeys.ComeBack, "retryAfter": settingkeys.Advise,
-	"secondCopies": settingkeys.Overlap, "maxOpen": settingkeys.Open, "idleCloseNs": settingkeys.IdleClose, "peers": settingkeys.Tell,
+// keyNames maps the operators' names to the router's. Other names are ignored.
+var keyNames = map[string]string{
+	"balancers": settingkeys.FrontEnds, "myNumber": settingkeys.Me, "zone": settingkeys.Zone,
+	"tickNs":   settingkeys.Tick,
+	"ceilings": settingkeys.May, "cancel": settingkeys.Retract, "connectTimeoutNs": settingkeys.ConnectTimeout,
+	"mayProbe": settingkeys.Check, "mostTries": settingkeys.CallOuts, "maxRetryAfterNs": settingkeys.ComeBack,
+	"retryAfter": settingkeys.Advise, "secondCopies": settingkeys.Overlap, "maxOpen": settingkeys.Open,
+	"idleCloseNs": settingkeys.IdleClose, "peers": settingkeys.Tell,
 	"clientHabits": settingkeys.Clients, "marksRetry": settingkeys.MarkRepeats,
-	"costs": settingkeys.Price, "crossZone": settingkeys.CrossZone, "lateFail": settingkeys.Late, "origin": settingkeys.Fetch, "probe": settingkeys.Check,
-	"waste":     settingkeys.Waste,
+	"costs": settingkeys.Price, "crossZone": settingkeys.CrossZone, "lateFail": settingkeys.Late,
+	"origin": settingkeys.Fetch, "probe": settingkeys.Check, "waste": settingkeys.Waste,
 	"customers": settingkeys.Customers, "quotaPerS": settingkeys.Quota, "share": settingkeys.Share,
-	"familyInfo": settingkeys.Functions, "idleLifeNs": settingkeys.KeepAlive, "idlePrice": settingkeys.MemoryPrice, "loadFloor": settingkeys.LoadFree,
-	"loadRatio": settingkeys.LoadShare, "loadsWithinNs": settingkeys.LoadWindow, "mayLoad": settingkeys.Orders, "onMiss": settingkeys.OnMiss,
-	"ramMbByKind": settingkeys.Memory, "tellsWarm": settingkeys.TellsWarm, "notesPeersInHand": settingkeys.TellsCrowd,
+	"familyInfo": settingkeys.Functions, "idleLifeNs": settingkeys.KeepAlive, "idlePrice": settingkeys.MemoryPrice,
+	"loadFloor": settingkeys.LoadFree, "loadRatio": settingkeys.LoadShare, "loadsWithinNs": settingkeys.LoadWindow,
+	"mayLoad": settingkeys.Orders, "onMiss": settingkeys.OnMiss, "ramMbByKind": settingkeys.Memory,
+	"tellsWarm": settingkeys.TellsWarm, "notesPeersInHand": settingkeys.TellsCrowd,
 	"answerWithinNs": settingkeys.OrderTimeout,
-	"grades":         settingkeys.Methods, "aimNs": settingkeys.SoftDeadline, "aimStretch": settingkeys.SoftStretch, "deadlineNs": settingkeys.Deadline,
-	"effect": settingkeys.Effect, "group": settingkeys.Group, "lateShare": settingkeys.LateShare, "value": settingkeys.Gain, "windowNs": settingkeys.Window,
+	"grades":         settingkeys.Methods, "aimNs": settingkeys.SoftDeadline, "aimStretch": settingkeys.SoftStretch,
+	"deadlineNs": settingkeys.Deadline, "effect": settingkeys.Effect, "group": settingkeys.Group,
+	"lateShare": settingkeys.LateShare, "value": settingkeys.Gain, "windowNs": settingkeys.Window,
 	"overShareWorth": settingkeys.OverShare, "registryMode": settingkeys.List, "worthBy": settingkeys.GainBy,
 	"reporting": settingkeys.Report, "names": settingkeys.Values, "how": settingkeys.How,
-	"rules": settingkeys.Rules, "askEveryNs": settingkeys.AskEvery, "coldFrom": settingkeys.ColdFrom, "coldNs": settingkeys.Cold, "drainGraceNs": settingkeys.Drain,
-	"fallMultiple": settingkeys.FallMultiple, "fallNs": settingkeys.Fall, "graceToAnswerNs": settingkeys.AnswerGrace,
-	// values
+	"rules": settingkeys.Rules, "askEveryNs": settingkeys.AskEvery, "coldFrom": settingkeys.ColdFrom,
+	"coldNs": settingkeys.Cold, "drainGraceNs": settingkeys.Drain, "fallMultiple": settingkeys.FallMultiple,
+	"fallNs": settingkeys.Fall, "graceToAnswerNs": settingkeys.AnswerGrace,
+	// values of settings
 	"retryable": router.Idempotent, "dedup": router.Tokened, "fragile": router.SideEffecting,
-	"automatic": settingkeys.Pushed, "subscribe": settingkeys.Asked, "rif": settingkeys.InHand, "q": settingkeys.Waiting, "busy": settingkeys.Util,
-	"lat_ms": settingkeys.Latency, "rate": settingkeys.Served, "fail_rate": settingkeys.Errors, "x0": settingkeys.Pinned, "x1": settingkeys.Loads,
-	// the same on sockets
-	"inflight": settingkeys.InHand, "queue": settingkeys.Waiting, "util": settingkeys.Util, "latency_ms": settingkeys.Latency,
-	"qps": settingkeys.Served, "eps": settingkeys.Errors,
+	"automatic": settingkeys.Pushed, "subscribe": settingkeys.Asked, "rif": settingkeys.InHand,
+	"q": settingkeys.Waiting, "busy": settingkeys.Util, "lat_ms": settingkeys.Latency, "rate": settingkeys.Served,
+	"fail_rate": settingkeys.Errors, "x0": settingkeys.Pinned, "x1": settingkeys.Loads,
+	// the same report values, by their names on sockets
+	"inflight": settingkeys.InHand, "queue": settingkeys.Waiting, "util": settingkeys.Util,
+	"latency_ms": settingkeys.Latency, "qps": settingkeys.Served, "eps": settingkeys.Errors,
 }
 
-// nsPerUnit: the operators' times are in nanoseconds, the module's in tenths of a millisecond.
-const nsPerUnit = 100_000
+// nanosPerUnit converts the operators' nanoseconds to the router's tenths of a millisecond.
+const nanosPerUnit = 100_000
 
-// Translate is our word for one of the operators'; one that is unknown stays as it is.
-func Translate(word string) string {
-	if w, known := words[word]; known {
-		return w
+// Translate returns the router's name for one of the operators' names, or the name itself if it is unknown.
+func Translate(key string) string {
+	if translated, known := keyNames[key]; known {
+		return translated
 	}
-	return word
+	return key
 }
 
-// Parse flattens the operators' JSON into our names and units.
+// Parse reads the operators' JSON into router settings.
 func Parse(text []byte) (router.Settings, error) {
 	var tree map[string]any
 	if err := json.Unmarshal(text, &tree); err != nil {
@@ -62,18 +68,18 @@
 	return FromTree(tree), nil
 }
 
-// FromTree is Settings of what has been decoded.
+// FromTree is like Parse, for settings already decoded from JSON.
 func FromTree(tree map[string]any) router.Settings {
 	out := router.Settings{}
 	for name, v := range tree {
-		if word, known := words[name]; known {
-			flatten(out, word, name, v)
+		if key, known := keyNames[name]; known {
+			flatten(out, key, name, v)
 		}
 	}
 	return out
 }
 
-// Lists of the operators' settings whose entries are named and go by their places.
+// Lists in the operators' settings whose entries have names and are referred to by their index.
 const (
 	Methods   = "grades"
 	Customers = "customers"
@@ -81,80 +87,81 @@
 	Kinds     = "models"
 )
 
-// ListNames are all of them.
+// ListNames are the names of all these lists.
 var ListNames = []string{Methods, Customers, Zones, Kinds}
 
-// KeepIndexes gives new settings with all that is listed by place where the settings before had it. An entry that is gone
-// keeps its place as it was; new ones come behind. Gone tells which are gone, by list. Nothing given is changed.
-func KeepIndexes(settings, was map[string]any) (kept map[string]any, gone map[string]map[int]bool) {
-	kept, gone = maps.Clone(settings), map[string]map[int]bool{}
+// KeepIndexes returns the new settings with every entry of a list at the index it had in the previous ones. A removed
+// entry stays at its index as it was, new entries are appended. Removed holds the indexes of removed entries, by list.
+// The arguments are not modified.
+func KeepIndexes(settings, previous map[string]any) (merged map[string]any, removed map[string]map[int]bool) {
+	merged, removed = maps.Clone(settings), map[string]map[int]bool{}
 	for _, list := range ListNames {
-		before, after := EntryNames(was, list), EntryNames(settings, list)
-		from := make([]int, len(before)) // places in the new settings; -1: gone
-		gone[list] = map[int]bool{}
+		before, after := EntryNames(previous, list), EntryNames(settings, list)
+		sources := make([]int, len(before)) // index of each merged entry in the new list; -1: removed
+		removed[list] = map[int]bool{}
 		for i, name := range before {
-			if from[i] = slices.Index(after, name); from[i] < 0 {
-				gone[list][i] = true
+			if sources[i] = slices.Index(after, name); sources[i] < 0 {
+				removed[list][i] = true
 			}
 		}
 		for i, name := range after {
 			if !slices.Contains(before, name) {
-				from = append(from, i)
+				sources = append(sources, i)
 			}
 		}
-		kept[list] = arrange(settings[list], was[list], from)
+		merged[list] = reorder(settings[list], previous[list], sources)
 		switch list {
-		case Kinds: // what a kind's workers hold is listed beside it
-			if family, is := settings[functions].(map[string]any); is {
-				family = maps.Clone(family)
-				old, _ := was[functions].(map[string]any)
-				if _, told := family[memory].([]any); told {
-					family[memory] = arrange(family[memory], old[memory], from)
+		case Kinds: // the memory of each kind's workers is a list with the same indexes
+			if functions, ok := settings[functionsKey].(map[string]any); ok {
+				functions = maps.Clone(functions)
+				old, _ := previous[functionsKey].(map[string]any)
+				if _, ok := functions[memoryKey].([]any); ok {
+					functions[memoryKey] = reorder(functions[memoryKey], old[memoryKey], sources)
 				}
-				kept[functions] = family
+				merged[functionsKey] = functions
 			}
-		case Zones: // our own zone is told by its place
-			if own, is := settings[zone].(float64); is {
-				if at := slices.Index(from, int(own)); at >= 0 {
-					kept[zone] = float64(at)
+		case Zones: // the front end's own zone is given by its index
+			if ownIndex, ok := settings[zoneKey].(float64); ok {
+				if index := slices.Index(sources, int(ownIndex)); index >= 0 {
+					merged[zoneKey] = float64(index)
 				}
 			}
 		}
 	}
-	return kept, gone
+	return merged, removed
 }
 
-// arrange lists the entries of the new list by their places there; those without one are the old list's, at their own.
-func arrange(list, was any, from []int) []any {
+// reorder returns the entries of list at the indexes in sources. Where that is -1, it takes the entry of the previous
+// list at the same index.
+func reorder(list, previous any, sources []int) []any {
 	after, _ := list.([]any)
-	before, _ := was.([]any)
-	out := make([]any, len(from))
-	for i, place := range from {
+	before, _ := previous.([]any)
+	out := make([]any, len(sources))
+	for i, source := range sources {
 		switch {
-		case place >= 0 && place < len(after):
-			out[i] = after[place]
-		case place < 0 && i < len(before):
+		case source >= 0 && source < len(after):
+			out[i] = after[source]
+		case source < 0 && i < len(before):
 			out[i] = before[i]
 		}
 	}
 	return out
 }
 
-// Names of the operators' settings that KeepPlaces heeds.
+// Names of operators' settings that KeepIndexes adapts to new indexes.
 const (
-	functions = "familyInfo"
-	memory    = "ramMbByKind"
-	zone      = "zone"
+	functionsKey = "familyInfo"
+	memoryKey    = "ramMbByKind"
+	zoneKey      = "zone"
 )
 
-// EntryNames are those of a list of the operators' settings, by place: of methods ("grades"), customers ("customers"),
-// zones ("localities") and kinds of worker ("models").
+// EntryNames returns the names of a list's entries by index. The list is one of ListNames.
 func EntryNames(tree map[string]any, list string) (names []string) {
-	places, _ := tree[list].([]any)
-	for _, place := range places {
-		name, isWord := place.(string)
-		if !isWord {
-			inner, _ := place.(map[string]any)
+	entries, _ := tree[list].([]any)
+	for _, entry := range entries {
+		name, isString := entry.(string)
+		if !isString {
+			inner, _ := entry.(map[string]any)
 			name, _ = inner["name"].(string)
 		}
 		names = append(names, name)
@@ -162,25 +169,27 @@
 	return names
 }
 
+// flatten adds the value v of the setting with the operators' name to out, under the router's path. A list is added as
+// its length and its entries by index; an entry that is a string is also added as a setting whose value is its index.
 func flatten(out router.Settings, path, name string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
 		for name, inner := range v {
-			if word, known := words[name]; known {
-				flatten(out, settingkeys.Join(path, word), name, inner)
+			if key, known := keyNames[name]; known {
+				flatten(out, settingkeys.Join(path, key), name, inner)
 			}
 		}
 	case []any:
 		out[path] = float64(len(v))
 		for i, inner := range v {
 			flatten(out, settingkeys.Item(path, i, ""), name, inner)
-			if value, isWord := inner.(string); isWord {
+			if value, isString := inner.(string); isString {
 				out[settingkeys.Join(path, Translate(value))] = float64(i)
 			}
 		}
 	case float64:
 		if strings.HasSuffix(name, "Ns") {
-			v /= nsPerUnit
+			v /= nanosPerUnit
 		}
 		out[path] = v
 	case bool:
