--- a/internal/admission/limits.go
+++ b/internal/admission/limits.go
@@ -37,8 +37,8 @@
 // answerIntervalWeight is the weight of the latest interval in the moving average Queue.answerInterval.
 const answerIntervalWeight = 1. / 32
 
-// maxIdleConns bounds the connections without waiting tickets in Queue.waitingConns, which prune then removes.
-const maxIdleConns = 64
+// pruneSlack bounds the connections without waiting tickets in Queue.waitingConns, which prune then removes.
+const pruneSlack = 64
 
 // PeerID identifies the client that opened a connection.
 type PeerID uint32
@@ -83,7 +83,7 @@
 // Ticket represents one RPC at the queue, until Release.
 type Ticket struct {
 	conn         *Conn
-	Value        any
+	Value        any // set by Enqueue, for the caller's use
 	function     string
 	gain         float64
 	seq          uint64
@@ -113,8 +113,8 @@
 // Waiting returns the number of tickets that wait for admission.
 func (q *Queue) Waiting() int { return q.waiting }
 
-// exceeded returns which part of a limit one more RPC of so many bytes would exceed; empty: none. A single RPC is never
-// too large.
+// exceeded says why one more RPC of so many bytes would exceed the limit; empty: it would not. The limit of bytes does
+// not apply to the first RPC, however large.
 func (u *usage) exceeded(limit Limit, bytes int64) string {
 	switch {
 	case limit.RPCs > 0 && u.rpcs >= limit.RPCs:
@@ -159,7 +159,7 @@
 	if !c.inWaiting {
 		c.inWaiting = true
 		q.waitingConns = append(q.waitingConns, c)
-		if len(q.waitingConns) > 2*q.waiting+maxIdleConns {
+		if len(q.waitingConns) > 2*q.waiting+pruneSlack {
 			q.prune()
 		}
 	}
