--- a/internal/admission/limits.go
+++ b/internal/admission/limits.go
@@ -37,7 +37,8 @@
 // answerIntervalWeight is the weight of the latest interval in the moving average Queue.answerInterval.
 const answerIntervalWeight = 1. / 32
 
-// pruneSlack bounds the connections without waiting tickets in Queue.waitingConns, which prune then removes.
+// pruneSlack: Queue.waitingConns is pruned once it holds more connections than twice the number of waiting tickets plus
+// this number.
 const pruneSlack = 64
 
 // PeerID identifies the client that opened a connection.
