--- a/internal/emulate/front.go
+++ b/internal/emulate/front.go
@@ -188,10 +188,10 @@
 	}
 	var entries []entry
 	for _, name := range names {
-		if m := w.members[name]; form != router.ListComplete || m.state != router.Gone {
+		if m := w.members[name]; form != router.ListComplete || m.state != router.Removed {
 			entries = append(entries, entry{name, *m})
 			w.keep(record.Record{Kind: record.Told, Who: "roster", FrontEnd: f.name(), Worker: name,
-				State: map[router.Readiness]string{router.Gone: "gone", router.Ready: "ready", router.Draining: "draining"}[m.state]})
+				State: map[router.Readiness]string{router.Removed: "gone", router.Ready: "ready", router.Draining: "draining"}[m.state]})
 		}
 	}
 	version := w.version
@@ -216,7 +216,7 @@
 // want keeps a link up to a worker, or drops it.
 func (f *frontEnd) want(name string, m member) {
 	l := f.links[name]
-	if m.state == router.Gone {
+	if m.state == router.Removed {
 		if l != nil {
 			l.wanted = false
 		}
--- a/internal/emulate/worker.go
+++ b/internal/emulate/worker.go
@@ -88,7 +88,7 @@
 	}
 	x.w.change(x.set.Name, func(m *member) {
 		if m.w == x { // else a new life has begun
-			m.state = router.Gone
+			m.state = router.Removed
 		}
 	})
 }
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -490,7 +490,7 @@
 		return fmt.Errorf("worker %q has the id of worker %q: rename one of them", name, w.name)
 	}
 	w := e.worker(name)
-	if w.listed = e.lists; state != router.Gone {
+	if w.listed = e.lists; state != router.Removed {
 		w.gone = 0
 	} else if w.gone == 0 {
 		w.gone = e.now
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -213,7 +213,7 @@
 		e.EndWorkerList()
 	}
 	list(router.ListComplete, router.Ready, "a", "b", "c", "d")
-	list(router.ListChanges, router.Gone, "a", "d")
+	list(router.ListChanges, router.Removed, "a", "d")
 	list(router.ListComplete, router.Ready, "c", "d")
 	for _, c := range []struct {
 		at             router.Time
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -365,7 +365,7 @@
 		case "leaving":
 			w.State = router.Draining
 		case "left":
-			w.State = router.Gone
+			w.State = router.Removed
 		default:
 			f.log.Warn().Str("worker", w.Name).Str("lifecycle", state).Msg("unknown state, left out")
 			continue
--- a/internal/rosterwatch/follow.go
+++ b/internal/rosterwatch/follow.go
@@ -186,7 +186,7 @@
 // ListReceived is closed once the roster, not the cache, has told a list.
 func (f *Watcher) ListReceived() <-chan struct{} { return f.told }
 
-var states = map[string]router.Readiness{"gone": router.Gone, "ready": router.Ready, "draining": router.Draining}
+var states = map[string]router.Readiness{"gone": router.Removed, "ready": router.Ready, "draining": router.Draining}
 
 // Run follows until the context ends. The cached list, if there is one, comes first.
 func (f *Watcher) Run(ctx context.Context) error {
--- a/internal/simadapter/serve.go
+++ b/internal/simadapter/serve.go
@@ -23,7 +23,7 @@
 		10: router.OK, 20: router.Errored, 30: router.Full, 40: router.TimedOut, 50: router.ConnectFailed,
 		60: router.Reset, 70: router.Cancelled, 80: router.NotSent, 90: router.NotLoaded,
 	}
-	readiness = map[uint8]router.Readiness{0: router.Gone, 1: router.Ready, 2: router.Draining}
+	readiness = map[uint8]router.Readiness{0: router.Removed, 1: router.Ready, 2: router.Draining}
 	forms     = map[uint8]router.ListUpdate{
 		0: router.ListChanges, 1: router.ListComplete, 2: router.ListCached, 3: router.ListFailed,
 	}
--- a/router/coldstart.go
+++ b/router/coldstart.go
@@ -6,38 +6,42 @@
 	"slices"
 )
 
-// This file decides what a worker that has just started may be sent.
+// This file decides how much a recently started worker may be sent.
 
-// restart forgets what stood on a worker that began anew, empty and cold. What was sent there counts on.
-func (w *worker) restart(at Time) {
-	w.started, w.known, w.errors, w.slow = at, true, 0, 1
-	clear(w.holds)
+// resetForRestart clears what was known of a worker that restarted empty and cold. What was sent before still counts
+// against its cold budget.
+func (w *worker) resetForRestart(at Time) {
+	w.started, w.startKnown, w.errorRate, w.slowness = at, true, 0, 1
+	clear(w.copies)
 }
 
-// coldRoom keeps rule four: within any window of the stated length, what all front ends send a cold worker
-// must stay under multiple x capacity. Capacity is the least the settings allow at its age times what warm
-// workers of its kind do for us; each front end sees its share, so the shares add up. Parts of an RPC are a
-// whole one for as many front ends as they make up: those whose turn, which all count alike, comes first.
-func (r *Router) coldRoom(w *worker, m *method) bool {
-	if !r.cold(w) {
+// coldBudgetAllows keeps rule four: within any window of the stated length, the work that all front ends send to a cold
+// worker must stay below multiple x capacity. Capacity is the least share that the settings allow at the worker's age,
+// times the work that warm workers of its kind do for this front end. Each front end sees only its share of that work,
+// so the budgets add up. Where the budget includes a fraction of an RPC, as many front ends as the fractions amount to
+// may send a whole one: those that come first in an order which all front ends compute alike.
+func (r *Router) coldBudgetAllows(w *worker, m *method) bool {
+	if !r.isCold(w) {
 		return true
 	}
-	window := r.set.span("rules.fall", sec)
-	w.sent = slices.DeleteFunc(w.sent, func(s callOut) bool { return s.at < r.now-window-beat })
-	from := r.set.num("rules.cold-from", 0.1)
-	share := from + (1-from)*max(0, float64(r.now-window-w.started))/float64(r.set.span("rules.cold", 20*sec))
-	budget := r.set.num("rules.fall-multiple", 1) * share * coldStretch * r.warmWork[w.kind] * float64(window)
-	all := r.frontEnds()
-	turn := math.Mod(r.set.num("me", 0)+float64(mix(uint64(w.id))%uint64(all)), all)
-	budget = (max(math.Floor(budget/m.mean()+1-(turn+1)/all), min(1, coldFew-turn)) - 0.5) * m.mean()
-	for _, s := range w.sent {
-		budget -= s.cost
+	window := r.settings.duration("rules.fall", sec)
+	w.coldSent = slices.DeleteFunc(w.coldSent, func(s callOut) bool { return s.sentAt < r.now-window-housekeepingInterval })
+	startShare := r.settings.number("rules.cold-from", 0.1)
+	capacityShare := startShare + (1-startShare)*max(0, float64(r.now-window-w.started))/float64(r.settings.duration("rules.cold", 20*sec))
+	budget := r.settings.number("rules.fall-multiple", 1) * capacityShare * coldHeadroom * r.warmWork[w.kind] * float64(window)
+	frontEnds := r.frontEnds()
+	position := math.Mod(r.settings.number("me", 0)+float64(hash64(uint64(w.id))%uint64(frontEnds)), frontEnds)
+	budget = (max(math.Floor(budget/m.meanCost()+1-(position+1)/frontEnds), min(1, minColdSenders-position)) - 0.5) * m.meanCost()
+	for _, sent := range w.coldSent {
+		budget -= sent.cost
 	}
 	return budget >= 0
 }
 
-func (r *Router) cold(w *worker) bool {
-	return w.known && r.now < w.started+r.set.span("rules.cold", 0)
+// isCold reports whether the worker started so recently that rule four limits what it is sent.
+func (r *Router) isCold(w *worker) bool {
+	return w.startKnown && r.now < w.started+r.settings.duration("rules.cold", 0)
 }
 
-func (m *method) mean() float64 { return cmp.Or(m.cost, m.work) }
+// meanCost is the mean work of an RPC: the core time of the hints, or the run time without hints.
+func (m *method) meanCost() float64 { return cmp.Or(m.coreTime, m.runTime) }
--- a/router/evidence.go
+++ b/router/evidence.go
@@ -5,174 +5,176 @@
 	"math"
 )
 
-// This file decides for how long it may be believed that a worker does not drain, and whom to ask once that is over.
+// This file decides for how long a worker is assumed not to drain, and which workers are checked after that.
 //
-// Rule three binds as soon as discovery has told of a drain, and counts it as told a stated time into discovery's silence
-// even where nothing was heard. Until then the list is evidence enough. Past it a drain counts as told the moment it
-// begins, so that a call-out or an order needs evidence no older than the rule's grace: of a call-out that was served, of
-// a load order that was carried out, or of a check that passed, each as of when it began. An ask for copies proves nothing:
-// workers that drain answer it as ever.
+// Rule three binds as soon as discovery has reported a drain. If discovery is silent, a drain counts as reported a
+// stated time later (listMaxAge), even if no report arrived. Until then the worker list is evidence enough. After that
+// a drain counts as reported the moment it begins, so a call-out or load order needs evidence that is no older than the
+// rule's grace: a call-out that was served, a load order that was carried out, or a check that passed, each dated to
+// its start. A question for copies proves nothing, since workers that drain answer it as usual.
 
-// forever is the end of what does not run out.
+// forever is a time that never comes.
 const forever Time = math.MaxInt64
 
-// never is before anything that was heard.
+// never is a time before all events.
 const never Time = math.MinInt64 / 2
 
-// ConfirmWorkerList tells that the list was whole and true at a time: the one at which discovery was asked, when it has
-// answered that nothing newer is known. An earlier time than before takes evidence back.
+// ConfirmWorkerList reports that the worker list was complete and correct at asOf: the time of a request that discovery
+// answered with "nothing newer". A time before the previous one withdraws evidence.
 func (r *Router) ConfirmWorkerList(now, asOf Time) {
 	r.now, r.dirty = now, true
-	lapsed := r.listLapsed()
+	wasExpired := r.listExpired()
 	r.listAsOf = asOf
-	r.timeList()
-	if !lapsed || r.listLapsed() {
+	r.updateListValidity()
+	if !wasExpired || r.listExpired() {
 		return
 	}
-	for _, w := range r.list { // the list tells by itself who has restarted
-		w.refused, w.askNext, w.askPause = false, 0, 0
+	for _, w := range r.sortedWorkers { // the list itself shows which workers have restarted
+		w.checkFailed, w.nextCheck, w.checkPause = false, 0, 0
 	}
 }
 
-// timeList works out until when the list alone allows a call-out or an order. Without a stated time discovery tells each
-// change as it comes: the list holds until then.
-func (r *Router) timeList() {
-	r.listLasts, r.drainGrace = r.set.span("rules.list-lasts", 0), r.set.span("rules.drain", 0)
+// updateListValidity computes until when the list alone allows a call-out or load order. Without a maximum age
+// discovery reports each change at once, and the list is always valid.
+func (r *Router) updateListValidity() {
+	r.listMaxAge, r.drainGrace = r.settings.duration("rules.list-lasts", 0), r.settings.duration("rules.drain", 0)
 	switch {
-	case r.listLasts == 0:
-		r.listUntil = forever
-	case r.listAsOf < r.wokeAt:
-		r.listUntil = min(r.listAsOf+r.listLasts, r.sleptAt) + r.drainGrace
+	case r.listMaxAge == 0:
+		r.listValidUntil = forever
+	case r.listAsOf < r.pauseEnd:
+		r.listValidUntil = min(r.listAsOf+r.listMaxAge, r.pauseStart) + r.drainGrace
 	default:
-		r.listUntil = r.listAsOf + r.listLasts + r.drainGrace
+		r.listValidUntil = r.listAsOf + r.listMaxAge + r.drainGrace
 	}
 }
 
-// MaxPause is the longest pause of the process that what is known, and what was decided, outlasts: half the grace, so that
-// enough of it remains for what follows the pause. 0: the settings state no grace.
-func MaxPause(s Settings) Time { return s.span("rules.drain", 0) / 2 }
+// MaxPause is the longest pause of the process after which earlier knowledge and decisions still hold: half the drain
+// grace, so that enough of it remains for what follows. It is 0 if the settings state no grace.
+func MaxPause(s Settings) Time { return s.duration("rules.drain", 0) / 2 }
 
-// noticePause: the list holds since changes are heard of at once. While we stood still nothing was heard, and what was told
-// then counts as told: a list from before a pause is evidence of when the pause began. It is asked for anew.
-func (r *Router) noticePause() {
-	if r.listLasts == 0 || r.now-r.turn <= MaxPause(r.set) || r.wokeAt == r.now {
+// detectPause handles a pause of the process. The list is valid only because changes arrive at once. Nothing arrives
+// during a pause, but what was sent then counts as reported: a list from before the pause is evidence only up to its
+// start, and is requested again.
+func (r *Router) detectPause() {
+	if r.listMaxAge == 0 || r.now-r.lastDispatch <= MaxPause(r.settings) || r.pauseEnd == r.now {
 		return
 	}
-	if r.listAsOf >= r.wokeAt { // else the list is older than a pause before this one
-		r.sleptAt = r.turn
+	if r.listAsOf >= r.pauseEnd { // otherwise the list is older than an earlier pause
+		r.pauseStart = r.lastDispatch
 	}
-	r.wokeAt = r.now
-	r.timeList()
-	r.port.Log(fmt.Sprintf("stood still for %d ms: the list is asked for anew", (r.now-r.turn)/ms))
-	r.port.SubscribeWorkers()
+	r.pauseEnd = r.now
+	r.updateListValidity()
+	r.actions.Log(fmt.Sprintf("process paused for %d ms: requesting the worker list again", (r.now-r.lastDispatch)/ms))
+	r.actions.SubscribeWorkers()
 }
 
-// listLapsed: the list is too old to be evidence, each worker needs some of its own.
-func (r *Router) listLapsed() bool { return r.now+beat > r.listUntil }
+// listExpired reports whether the list is too old to be evidence, so that each worker needs evidence of its own.
+func (r *Router) listExpired() bool { return r.now+housekeepingInterval > r.listValidUntil }
 
-// sendBy is the last moment at which a call-out's or an order's first byte may go to the worker.
-func (r *Router) sendBy(w *worker) Time {
-	proven := w.provenAt
+// sendDeadline is the last moment at which the first byte of a call-out or load order may be sent to the worker.
+func (r *Router) sendDeadline(w *worker) Time {
+	evidence := w.evidenceAt
 	if !r.suspected(w) {
-		proven = max(proven, w.passedAt)
+		evidence = max(evidence, w.checkPassedAt)
 	}
-	return max(r.listUntil, proven+r.drainGrace)
+	return max(r.listValidUntil, evidence+r.drainGrace)
 }
 
-// suspected: the worker may drain and pass its checks, since it turned away what it had room for. The list, once it is
-// confirmed as of later, knows better.
-func (r *Router) suspected(w *worker) bool { return w.turnedAwayAt > max(r.listAsOf, 0) }
+// suspected reports whether the worker may be draining although it passes its checks: it refused RPCs that it had room
+// for. A list confirmed as of a later time overrules this.
+func (r *Router) suspected(w *worker) bool { return w.idleRefusalAt > max(r.listAsOf, 0) }
 
-// confirmed: there is evidence that the worker does not drain, and time left to send on it.
-func (r *Router) confirmed(w *worker) bool { return r.now+beat <= r.sendBy(w) }
+// confirmed reports whether there is evidence that the worker does not drain, with time left to send.
+func (r *Router) confirmed(w *worker) bool { return r.now+housekeepingInterval <= r.sendDeadline(w) }
 
-// proved notes that the worker did not drain at a time. Evidence counts from when a question began: one that was answered
-// after two seconds tells nothing of these two.
-func (w *worker) proved(began Time) { w.provenAt = max(w.provenAt, began) }
+// addEvidence records that the worker did not drain at startedAt. Evidence is dated to the start of a request: an
+// answer after two seconds proves nothing about those two seconds.
+func (w *worker) addEvidence(startedAt Time) { w.evidenceAt = max(w.evidenceAt, startedAt) }
 
-// usable: the worker is confirmed, or may be by asking it.
+// usable reports whether the worker is confirmed, or a check may confirm it.
 func (r *Router) usable(w *worker) bool {
-	return r.confirmed(w) || r.set.is("may.check") && r.now >= w.askNext && !(w.checking && r.now-w.askedAt > askWait)
+	return r.confirmed(w) || r.settings.enabled("may.check") && r.now >= w.nextCheck && !(w.checkPending && r.now-w.checkSentAt > askTimeout)
 }
 
-// ask checks a worker that an RPC wants and that is not confirmed. Only those that are wanted are asked, and each once at
-// a time: with many front ends more would be a crowd.
-func (r *Router) ask(w *worker) {
-	if !w.checking {
-		r.check(w)
+// ensureCheck checks an unconfirmed worker that an RPC needs, unless a check is pending. Workers that no RPC needs are
+// not checked: with many front ends the checks would add up.
+func (r *Router) ensureCheck(w *worker) {
+	if !w.checkPending {
+		r.startCheck(w)
 	}
 }
 
-func (r *Router) check(w *worker) {
-	w.checking, w.askedAt = true, r.now
-	r.port.Check(w.id)
+func (r *Router) startCheck(w *worker) {
+	w.checkPending, w.checkSentAt = true, r.now
+	r.actions.Check(w.id)
 }
 
-// learnFromCheck takes a check's end as evidence for or against the worker.
-func (r *Router) learnFromCheck(w *worker, o Outcome, began Time) {
+// learnFromCheck takes the end of a check as evidence for or against the worker.
+func (r *Router) learnFromCheck(w *worker, o Outcome, startedAt Time) {
 	switch {
 	case o == OK && r.suspected(w) && !r.looksBusy(w):
-		w.postpone(r)
+		w.postponeCheck(r)
 	case o == OK:
-		w.turnedAwayAt = 0
-		if w.refused { // it went, or drained, and is back: whatever it is by now, it began anew
-			r.port.Log(fmt.Sprintf("worker %d passes its check again: taken for restarted", w.id))
-			w.restart(r.now)
-			w.refused = false
+		w.idleRefusalAt = 0
+		// The worker was removed or drained and is back, so it has restarted.
+		if w.checkFailed {
+			r.actions.Log(fmt.Sprintf("worker %d passes its check again: assumed to have restarted", w.id))
+			w.resetForRestart(r.now)
+			w.checkFailed = false
 		}
-		w.askPause = 0
-		w.passedAt = max(w.passedAt, began)
-	case o == Full: // no descriptor of ours was free: it tells nothing of the worker
-		w.askNext = r.now + beat
-	case r.listLapsed():
-		if !w.refused {
-			r.port.Log(fmt.Sprintf("worker %d is not confirmed: check ended with %s", w.id, o))
+		w.checkPause = 0
+		w.checkPassedAt = max(w.checkPassedAt, startedAt)
+	case o == Full: // this process had no free descriptor: the result says nothing about the worker
+		w.nextCheck = r.now + housekeepingInterval
+	case r.listExpired():
+		if !w.checkFailed {
+			r.actions.Log(fmt.Sprintf("worker %d is not confirmed: check ended with %s", w.id, o))
 		}
-		w.refused, w.turnedAwayAt = true, 0
-		w.postpone(r)
+		w.checkFailed, w.idleRefusalAt = true, 0
+		w.postponeCheck(r)
 	}
 }
 
-// postpone has a worker asked again after a doubling pause.
-func (w *worker) postpone(r *Router) {
-	w.askPause = min(max(2*w.askPause, illBackMin), illBackMax)
-	w.askNext = r.now + w.askPause
+// postponeCheck delays the next check of the worker by a pause that doubles each time.
+func (w *worker) postponeCheck(r *Router) {
+	w.checkPause = min(max(2*w.checkPause, minUnhealthyPause), maxUnhealthyPause)
+	w.nextCheck = r.now + w.checkPause
 }
 
-// learnFromRefusal: full proves neither that a worker drains nor that it does not. But one that looks idle and turns away
-// what a warm copy has lanes for may drain, and its checks are then no evidence, those before it neither. That may begin
-// long before the list is too old.
-func (r *Router) learnFromRefusal(w *worker, cold bool) {
-	if !cold && !r.looksBusy(w) && r.set.num("report.values.util", -1) >= 0 {
-		w.turnedAwayAt = r.now
+// learnFromRefusal handles the outcome Full. It proves neither that the worker drains nor that it does not. But a
+// worker that looks idle and refuses RPCs for which its warm copy has lanes may be draining, and then its checks are no
+// evidence, nor are earlier ones. This may begin long before the list expires.
+func (r *Router) learnFromRefusal(w *worker, awaitedLoad bool) {
+	if !awaitedLoad && !r.looksBusy(w) && r.settings.number("report.values.util", -1) >= 0 {
+		w.idleRefusalAt = r.now
 	}
 }
 
-// looksBusy: a recent report explains why it would turn RPCs away.
+// looksBusy reports whether a recent report explains why the worker refuses RPCs.
 func (r *Router) looksBusy(w *worker) bool {
-	return r.now-w.told < reportLasts && (w.util >= idleUtil || w.pinned > pinnedFull)
+	return r.now-w.reportedAt < reportValidity && (w.util >= idleUtil || w.pinned > fullPinnedShare)
 }
 
-// rarelyConfirmed: only RPCs keep workers confirmed, since checks are not allowed and the list gets old. A worker that no
-// longer is can't be used again until the list comes.
-func (r *Router) rarelyConfirmed() bool {
-	return r.listLasts > 0 && r.now > r.listAsOf+r.listLasts/2 && !r.set.is("may.check")
+// onlyRPCsConfirm reports whether RPCs alone keep workers confirmed, since checks are not allowed and the list grows
+// old. A worker that is no longer confirmed then stays unusable until the next list.
+func (r *Router) onlyRPCsConfirm() bool {
+	return r.listMaxAge > 0 && r.now > r.listAsOf+r.listMaxAge/2 && !r.settings.enabled("may.check")
 }
 
-// watchList logs when the list grows too old to be used alone, and when it is confirmed again.
-func (r *Router) watchList() {
-	lapsed := r.listLapsed()
-	if lapsed == r.wasLapsed {
+// logListExpiry logs when the list becomes too old to be evidence, and when it is confirmed again.
+func (r *Router) logListExpiry() {
+	expired := r.listExpired()
+	if expired == r.listWasExpired {
 		return
 	}
-	r.wasLapsed = lapsed
-	if !lapsed {
-		r.port.Log("the list is confirmed again")
+	r.listWasExpired = expired
+	if !expired {
+		r.actions.Log("worker list confirmed again")
 		return
 	}
 	age := "never confirmed"
 	if r.listAsOf > never {
 		age = fmt.Sprintf("confirmed %d ms ago", (r.now-r.listAsOf)/ms)
 	}
-	r.port.Log(fmt.Sprintf("the list is too old, %s: each worker needs evidence of its own, checks allowed: %t", age, r.set.is("may.check")))
+	r.actions.Log(fmt.Sprintf("worker list too old, %s: each worker needs evidence of its own, checks allowed: %t", age, r.settings.enabled("may.check")))
 }
--- a/router/forget.go
+++ b/router/forget.go
@@ -2,39 +2,40 @@
 
 import "slices"
 
-// forget drops records that nothing can happen to any more, so that memory does not grow with all functions ever asked
-// for and all workers that ever were: functions without an RPC or a copy, and workers gone, for forgetAfter. It decides
-// nothing: every figure of theirs has faded, or run out, long before.
-func (r *Router) forget() {
-	for id, fn := range r.fns {
-		if r.now-fn.needAt >= forgetAfter && fn.out+fn.held == 0 && !r.heldAnywhere(id) {
-			delete(r.fns, id)
-			r.seen -= fn.size
+// dropUnused drops records that no event can refer to any more, so that memory does not grow with every function and
+// worker ever seen: functions without RPCs and copies, and removed workers, both after unusedRetention. No decision
+// depends on it: all values in such records have decayed or expired long before.
+func (r *Router) dropUnused() {
+	for id, fn := range r.functions {
+		if r.now-fn.lastSubmit >= unusedRetention && fn.inFlight+fn.queued == 0 && !r.hasCopies(id) {
+			delete(r.functions, id)
+			r.functionMemory -= fn.memory
 		}
 	}
-	for _, w := range r.list {
+	for _, w := range r.sortedWorkers {
 		switch {
-		case w.state != Gone:
-			w.goneAt = 0
-		case w.goneAt == 0:
-			w.goneAt = r.now
-		case r.now-w.goneAt >= forgetAfter && w.active == 0 && !w.checking:
+		case w.state != Removed:
+			w.removedAt = 0
+		case w.removedAt == 0:
+			w.removedAt = r.now
+		case r.now-w.removedAt >= unusedRetention && w.inFlight == 0 && !w.checkPending:
 			delete(r.workers, w.id)
 		}
 	}
-	if len(r.workers) < len(r.list) {
-		r.list = slices.DeleteFunc(r.list, func(w *worker) bool { return r.workers[w.id] != w })
+	if len(r.workers) < len(r.sortedWorkers) {
+		r.sortedWorkers = slices.DeleteFunc(r.sortedWorkers, func(w *worker) bool { return r.workers[w.id] != w })
 	}
 }
 
-func (r *Router) heldAnywhere(id FunctionID) bool {
-	return slices.ContainsFunc(r.list, func(w *worker) bool { return w.holds[id] != nil })
+// hasCopies reports whether any worker is believed to hold or load copies of the function.
+func (r *Router) hasCopies(id FunctionID) bool {
+	return slices.ContainsFunc(r.sortedWorkers, func(w *worker) bool { return w.copies[id] != nil })
 }
 
-// record is a worker's, for answers that come late; of one that is forgotten, one that stands for it.
-func (r *Router) record(id WorkerID) *worker {
+// workerRecord returns the record of a worker, for results that arrive late: an empty one if it was dropped.
+func (r *Router) workerRecord(id WorkerID) *worker {
 	if w := r.workers[id]; w != nil {
 		return w
 	}
-	return &worker{id: id, provenAt: never, passedAt: never, holds: map[FunctionID]*instance{}}
+	return &worker{id: id, evidenceAt: never, checkPassedAt: never, copies: map[FunctionID]*copySet{}}
 }
--- a/router/health.go
+++ b/router/health.go
@@ -5,180 +5,189 @@
 	"slices"
 )
 
-// This file decides which workers are unhealthy, and their way back.
+// This file decides which workers are unhealthy, and how they come back into use.
 
-// judge learns from a call-out's end about the worker, the instance and the function.
-func (p *RPC) judge(c *callOut, o Outcome, warmth Warmth, crowd int, took Time) {
-	r, w, fn, in := p.r, c.w, p.fn, c.in
+// learnFromCallOut updates the records of the worker, the copies and the function after a call-out.
+func (p *RPC) learnFromCallOut(c *callOut, o Outcome, warmth Warmth, concurrent int, took Time) {
+	r, w, fn, cs := p.router, c.worker, p.fn, c.copies
 	if o == OK || o == Errored || o == NotLoaded || o == Full {
-		w.heard = r.now
+		w.lastAnswer = r.now
 	}
 	switch o {
 	case OK:
-		w.proved(c.at)
-		if c.at > w.turnedAwayAt {
-			w.turnedAwayAt = 0
-		}
-		w.errors -= w.errors / 4
-		w.served += p.m.mean() / float64(servedFade)
-		if now := w.holds[fn.id]; now == nil || now.asked {
-			w.holds[fn.id] = in
-		}
-		cold := warmth == StartedLoad || warmth == JoinedLoad || warmth == WarmthUnknown && c.cold &&
-			float64(took) > p.work()+fn.load/2
-		r.loaded(fn, in, cold, cold && warmth != JoinedLoad, max(float64(took)-p.work(), 0))
-		in.executed++
-		weight := max(0.25, 1-fade(r.now-in.toldAt, crowdFade))
-		in.others = in.crowd(r.now)*(1-weight) + max(0, float64(crowd-in.active))*weight
-		in.lastUse, in.toldAt = r.now, r.now
-		if !cold && !r.wasPaused() {
-			r.learnFleetFactor(took <= p.m.soft)
-			rare := min(0.25, max(0.125, 1-fade(r.now-w.timed, slowFade))) // rare answers weigh more
-			w.slow, w.timed = w.slow+(min(float64(took)/p.work(), 10)-w.slow)*rare, r.now
-			fn.work += (min(float64(took)/p.size, 4*fn.work) - fn.work) / 16
-			p.m.work += (min(float64(took), 4*p.m.work) - p.m.work) / 64
-		}
-		if w.ill != "" && w.slow <= slowIll*r.slow && w.errors <= errorsIll {
-			r.port.Log(fmt.Sprintf("worker %d well after %s: slow %.1f errors %.2f", w.id, w.ill, w.slow, w.errors))
-			w.ill, w.illBack, w.trial = "", 0, false
-		} else if w.ill == "" && w.slow > slowIll*r.slow {
-			w.markUnhealthy(r, "slowness", w.slow)
+		w.addEvidence(c.sentAt)
+		if c.sentAt > w.idleRefusalAt {
+			w.idleRefusalAt = 0
+		}
+		w.errorRate -= w.errorRate / 4
+		w.recentWork += p.method.meanCost() / float64(workerWorkDecay)
+		if current := w.copies[fn.id]; current == nil || current.asked {
+			w.copies[fn.id] = cs
+		}
+		includedLoad := warmth == StartedLoad || warmth == JoinedLoad || warmth == WarmthUnknown && c.awaitsLoad &&
+			float64(took) > p.runTime()+fn.loadTime/2
+		r.loadEnded(fn, cs, includedLoad, includedLoad && warmth != JoinedLoad, max(float64(took)-p.runTime(), 0))
+		cs.completed++
+		weight := max(0.25, 1-decay(r.now-cs.reportedAt, othersDecay))
+		cs.otherRPCs = cs.estimatedOthers(r.now)*(1-weight) + max(0, float64(concurrent-cs.inFlight))*weight
+		cs.lastUse, cs.reportedAt = r.now, r.now
+		if !includedLoad && !r.wasPaused() {
+			r.learnFleetFactor(took <= p.method.softDeadline)
+			// The rarer the answers, the more each one weighs.
+			timeWeight := min(0.25, max(0.125, 1-decay(r.now-w.lastTimed, slownessDecay)))
+			w.slowness, w.lastTimed = w.slowness+(min(float64(took)/p.runTime(), 10)-w.slowness)*timeWeight, r.now
+			fn.runTime += (min(float64(took)/p.relativeCost, 4*fn.runTime) - fn.runTime) / 16
+			p.method.runTime += (min(float64(took), 4*p.method.runTime) - p.method.runTime) / 64
+		}
+		if w.symptom != "" && w.slowness <= unhealthySlowness*r.medianSlowness && w.errorRate <= unhealthyErrorRate {
+			r.actions.Log(fmt.Sprintf("worker %d healthy again after %s: slowness %.1f, error rate %.2f", w.id, w.symptom, w.slowness, w.errorRate))
+			w.symptom, w.unhealthyPause, w.trialAllowed = "", 0, false
+		} else if w.symptom == "" && w.slowness > unhealthySlowness*r.medianSlowness {
+			w.markUnhealthy(r, "slowness", w.slowness)
 		}
 	case Errored, NotLoaded:
 		if warmth == LoadFailed || o == NotLoaded {
-			if in.loading && w.holds[fn.id] == in { // RPCs that joined the load tell of one failure, not of many
+			// All RPCs that joined the load report the same failure; it is counted once.
+			if cs.loading && w.copies[fn.id] == cs {
 				r.loadFailed(fn)
 			}
-			delete(w.holds, fn.id)
+			delete(w.copies, fn.id)
 			break
 		}
-		in.loading = false
-		if w.errors += (1 - w.errors) / 4; w.errors > errorsIll {
-			w.markUnhealthy(r, "errors", w.errors)
+		cs.loading = false
+		if w.errorRate += (1 - w.errorRate) / 4; w.errorRate > unhealthyErrorRate {
+			w.markUnhealthy(r, "errors", w.errorRate)
 		}
 	case Full:
-		r.learnFromRefusal(w, c.cold)
-		w.fullUntil = r.now + Time(p.m.work)/2
-		if in.loading && in.active == 0 {
-			delete(w.holds, fn.id)
-			r.tokens += r.realShare // it never began
-		}
-	case Reset: // a connection may break alone; a process that ends refuses new ones, too
-		in.loading, c.broke = false, true
-		if w.errors += (1 - w.errors) / 8; w.errors > errorsIll {
-			w.markUnhealthy(r, "broken connections", w.errors)
+		r.learnFromRefusal(w, c.awaitsLoad)
+		w.fullUntil = r.now + Time(p.method.runTime)/2
+		if cs.loading && cs.inFlight == 0 {
+			delete(w.copies, fn.id)
+			r.loadTokens += r.storeLoadShare // the load never started
+		}
+	// A connection may break alone; a process that ended refuses new connections as well.
+	case Reset:
+		cs.loading, c.connBroke = false, true
+		if w.errorRate += (1 - w.errorRate) / 8; w.errorRate > unhealthyErrorRate {
+			w.markUnhealthy(r, "broken connections", w.errorRate)
 		}
 	case ConnectFailed:
-		w.restart(r.now)
-		w.markUnhealthy(r, "no connection", float64(w.active))
+		w.resetForRestart(r.now)
+		w.markUnhealthy(r, "no connection", float64(w.inFlight))
 	case TimedOut, Cancelled, NotSent:
-		if !c.cold && !c.retracted && o == TimedOut {
+		if !c.awaitsLoad && !c.cancelled && o == TimedOut {
 			r.learnFleetFactor(false)
 		}
-		if in.loading && in.active == 0 {
-			delete(w.holds, fn.id)
-			fn.loadNext = max(fn.loadNext, r.now+fn.backoff) // timed-out loads only back off
+		if cs.loading && cs.inFlight == 0 {
+			delete(w.copies, fn.id)
+			fn.nextLoad = max(fn.nextLoad, r.now+fn.loadBackoff) // a load that timed out only delays the next one
 		}
 	}
 }
 
-// wasPaused: after a pause of our own what comes now may have come long ago, and times tell nothing.
-func (r *Router) wasPaused() bool { return r.now-r.turn > pause }
+// wasPaused reports whether this process was paused: what it receives now may have arrived long ago, so measured times
+// mean nothing.
+func (r *Router) wasPaused() bool { return r.now-r.lastDispatch > maxDispatchGap }
 
-func (w *worker) report(r *Router, values []float64) {
-	told := func(name string, to *float64) bool {
-		at := int(r.set.num("report.values."+name, -1))
-		if at < 0 || at >= len(values) {
+// applyReport takes over the values that the worker reported.
+func (w *worker) applyReport(r *Router, values []float64) {
+	readValue := func(name string, dst *float64) bool {
+		index := int(r.settings.number("report.values."+name, -1))
+		if index < 0 || index >= len(values) {
 			return false
 		}
-		*to, w.told = values[at], r.now
+		*dst, w.reportedAt = values[index], r.now
 		return true
 	}
-	if told("pinned", &w.pinned); !told("util", &w.util) {
+	if readValue("pinned", &w.pinned); !readValue("util", &w.util) {
 		return
 	}
-	// Exception: a worker with idle cores is given more than our even share, where that bound held RPCs back.
-	if even := max(2, workerBusy/r.frontEnds()); w.util >= busyUtil {
-		w.bound *= 0.9
-	} else if w.util < idleUtil && float64(w.active+2) > max(even, w.bound) {
-		w.bound = min(max(even, w.bound)+0.25, workerMost*even)
+	// Exception: a worker with idle cores is given more than this front end's even share if that limit kept RPCs
+	// waiting.
+	if evenShare := max(2, workerInFlightCap/r.frontEnds()); w.util >= busyUtil {
+		w.maxInFlight *= 0.9
+	} else if w.util < idleUtil && float64(w.inFlight+2) > max(evenShare, w.maxInFlight) {
+		w.maxInFlight = min(max(evenShare, w.maxInFlight)+0.25, idleShareFactor*evenShare)
 	}
 }
 
-// markUnhealthy takes a worker off the ordinary path for a doubling pause; a check, then one RPC, tries it.
-func (w *worker) markUnhealthy(r *Router, symptom string, figure float64) {
-	if w.ill == "" {
-		r.port.Log(fmt.Sprintf("worker %d ill: %s %.2f, %d out", w.id, symptom, figure, w.active))
+// markUnhealthy takes a worker out of ordinary use for a pause, which doubles each time. After it a check and then one
+// RPC try the worker.
+func (w *worker) markUnhealthy(r *Router, symptom string, value float64) {
+	if w.symptom == "" {
+		r.actions.Log(fmt.Sprintf("worker %d unhealthy: %s %.2f, %d in flight", w.id, symptom, value, w.inFlight))
 	}
-	w.ill, w.trial = symptom, false
-	w.illBack = min(max(2*w.illBack, illBackMin), illBackMax)
-	w.illUntil = r.now + w.illBack
+	w.symptom, w.trialAllowed = symptom, false
+	w.unhealthyPause = min(max(2*w.unhealthyPause, minUnhealthyPause), maxUnhealthyPause)
+	w.unhealthyUntil = r.now + w.unhealthyPause
 }
 
-// CheckEnded answers a check: one that passed lets an RPC try the worker.
+// CheckEnded handles the end of a check. After one that passed, an RPC may try an unhealthy worker.
 func (r *Router) CheckEnded(now Time, id WorkerID, o Outcome, took Time, report []float64) {
 	r.now, r.dirty = now, true
-	w := r.record(id)
-	w.checking = false
-	w.report(r, report)
+	w := r.workerRecord(id)
+	w.checkPending = false
+	w.applyReport(r, report)
 	r.learnFromCheck(w, o, now-took)
-	if o != OK && w.ill != "" {
-		w.markUnhealthy(r, w.ill, 0)
+	if o != OK && w.symptom != "" {
+		w.markUnhealthy(r, w.symptom, 0)
 	}
-	w.trial = o == OK && w.ill != ""
+	w.trialAllowed = o == OK && w.symptom != ""
 }
 
-// recoverUnhealthy leads ill workers back: a check, where allowed, then one RPC.
+// recoverUnhealthy lets unhealthy workers be tried once their pause is over: by a check where checks are allowed, then
+// by one RPC. It also updates the median slowness.
 func (r *Router) recoverUnhealthy() {
-	ill, slows := 0, []float64{}
-	for _, w := range r.list {
+	unhealthy, slownesses := 0, []float64{}
+	for _, w := range r.sortedWorkers {
 		if w.state != Ready {
 			continue
 		}
-		slows = append(slows, w.slow)
-		if w.ill == "" {
+		slownesses = append(slownesses, w.slowness)
+		if w.symptom == "" {
 			continue
 		}
-		ill++
-		if r.now < w.illUntil || w.trial || w.checking {
+		unhealthy++
+		if r.now < w.unhealthyUntil || w.trialAllowed || w.checkPending {
 			continue
 		}
-		if r.set.is("may.check") {
-			r.check(w)
+		if r.settings.enabled("may.check") {
+			r.startCheck(w)
 		}
-		w.trial = !w.checking
+		w.trialAllowed = !w.checkPending
 	}
-	ready := len(slows)
-	if slices.Sort(slows); ready > 0 {
-		r.slow = max(1, slows[ready/2])
+	ready := len(slownesses)
+	if slices.Sort(slownesses); ready > 0 {
+		r.medianSlowness = max(1, slownesses[ready/2])
 	}
-	// if most look ill, the cause is elsewhere
-	if all := 2*ill > ready; all != r.allIll {
-		r.allIll = all
-		r.port.Log(fmt.Sprintf("%d of %d workers look ill, health ignored: %t", ill, ready, all))
+	// If most workers look unhealthy, the cause is elsewhere.
+	if ignore := 2*unhealthy > ready; ignore != r.ignoreHealth {
+		r.ignoreHealth = ignore
+		r.actions.Log(fmt.Sprintf("%d of %d workers look unhealthy, health ignored: %t", unhealthy, ready, ignore))
 	}
 }
 
-// watchSilence guards against workers that take RPCs and answer none, whatever the cause: one whose answer is
-// long overdue, with nothing heard from it since, is ill, and RPCs that may be repeated leave it.
-func (r *Router) watchSilence() {
-	for _, p := range slices.Clone(r.out) {
-		c := &p.calls[len(p.calls)-1]
-		due := silentWorks*p.work() + p.fn.load // a belief may be wrong
-		if c.cold {
-			due += 2 * p.fn.load
-		} else if !c.done && c.in.toldAt < c.at && float64(r.now-c.at) > silentWorks*p.work() {
-			c.in.loading = true // inferred: what we believed warm is being loaded, or worse
-		}
-		if c.done || c.retracted || c.w.heard > c.at || float64(r.now-c.at) < due {
+// detectSilentWorkers guards against workers that accept RPCs and answer none, for whatever reason. A worker whose
+// answer is long overdue and that has answered nothing since is unhealthy, and RPCs that may be repeated are cancelled
+// there.
+func (r *Router) detectSilentWorkers() {
+	for _, p := range slices.Clone(r.inFlight) {
+		c := &p.callOuts[len(p.callOuts)-1]
+		overdueAfter := silenceFactor*p.runTime() + p.fn.loadTime // the copy may have to be loaded after all
+		if c.awaitsLoad {
+			overdueAfter += 2 * p.fn.loadTime
+		} else if !c.ended && c.copies.reportedAt < c.sentAt && float64(r.now-c.sentAt) > silenceFactor*p.runTime() {
+			c.copies.loading = true // inferred: the copy believed warm is being loaded, or worse
+		}
+		if c.ended || c.cancelled || c.worker.lastAnswer > c.sentAt || float64(r.now-c.sentAt) < overdueAfter {
 			continue
-		} else if c.w.ill == "" {
-			c.w.markUnhealthy(r, "silence", float64(r.now-c.at)/float64(ms))
+		} else if c.worker.symptom == "" {
+			c.worker.markUnhealthy(r, "silence", float64(r.now-c.sentAt)/float64(ms))
 		}
-		if r.set.is("may.retract") && !p.ended && p.m.effect != SideEffecting && r.now < p.leaveAt() &&
-			!p.spent() && r.now+Time(p.work()) < p.late {
-			c.retracted = true
-			r.port.CancelCallOut(p.id, len(p.calls)-1)
+		if r.settings.enabled("may.retract") && !p.ended && p.method.effect != SideEffecting && r.now < p.giveUpAt() &&
+			!p.attemptsExhausted() && r.now+Time(p.runTime()) < p.softDeadline {
+			c.cancelled = true
+			r.actions.CancelCallOut(p.id, len(p.callOuts)-1)
 		}
 	}
 }
--- a/router/loads.go
+++ b/router/loads.go
@@ -7,220 +7,229 @@
 	"slices"
 )
 
-// This file decides when a copy is loaded, and what its end teaches: caps, pace, orders and their ration.
+// This file decides when a copy is loaded, and what is learned when a load ends: caps, pace, load orders and their
+// ration.
 
-// count drops instances that idled past the least keep-alive, and counts the rest and the loads under way.
-func (r *Router) count() {
-	r.pending, r.total, r.totalCap = 0, 0, 0
-	for _, w := range r.list {
-		for id, in := range w.holds {
-			keep := r.set.span("functions.keep-alive", 10*sec)
-			if in.asked {
-				keep = askWait
+// countCopies drops copies that have been idle for the minimum keep-alive time, and recounts the remaining ones, the
+// loads in progress, and the cap of copies that the workers' memory allows.
+func (r *Router) countCopies() {
+	r.pendingLoads, r.totalCopies, r.maxCopies = 0, 0, 0
+	for _, w := range r.sortedWorkers {
+		for id, cs := range w.copies {
+			keepAlive := r.settings.duration("functions.keep-alive", 10*sec)
+			if cs.asked {
+				keepAlive = askTimeout
 			}
-			if in.loading {
-				if !in.lost(r.fns[id], r.now) {
-					r.pending++
+			if cs.loading {
+				if !cs.orderOverdue(r.functions[id], r.now) {
+					r.pendingLoads++
 				}
-			} else if in.active == 0 && r.now-in.lastUse >= keep {
-				delete(w.holds, id)
+			} else if cs.inFlight == 0 && r.now-cs.lastUse >= keepAlive {
+				delete(w.copies, id)
 				continue
 			}
-			r.total += in.copies
+			r.totalCopies += cs.count
 		}
 		if w.state == Ready {
-			r.totalCap += r.memory(w)
+			r.maxCopies += r.workerMemory(w)
 		}
 	}
-	if r.totalCap *= float64(len(r.fns)) / max(r.seen, 1); r.totalCap == 0 {
-		r.totalCap = totalCap
+	if r.maxCopies *= float64(len(r.functions)) / max(r.functionMemory, 1); r.maxCopies == 0 {
+		r.maxCopies = defaultMaxCopies
 	}
 }
 
-// order has a copy loaded that no RPC rides on.
-func (p *RPC) order(w *worker) {
-	p.begin(w).ordered = true
-	p.r.orders = append(p.r.orders, p.r.now)
-	p.r.port.OrderLoad(w.id, p.fn.id, 1, p.r.sendBy(w))
+// orderLoad orders a copy at the worker without sending the RPC there.
+func (p *RPC) orderLoad(w *worker) {
+	p.beginLoad(w).byOrder = true
+	p.router.recentOrders = append(p.router.recentOrders, p.router.now)
+	p.router.actions.OrderLoad(w.id, p.fn.id, 1, p.router.sendDeadline(w))
 }
 
-// begin notes a load under way.
-func (p *RPC) begin(w *worker) *instance {
-	in := w.holds[p.fn.id]
-	if in == nil {
-		in = &instance{}
-		w.holds[p.fn.id] = in
-	}
-	in.copies, in.loading, in.ordered, in.since, in.lastUse = max(in.copies, 1), true, false, p.r.now, p.r.now
-	p.r.pending++
-	p.r.total++
-	return in
+// beginLoad records that a load starts at the worker.
+func (p *RPC) beginLoad(w *worker) *copySet {
+	cs := w.copies[p.fn.id]
+	if cs == nil {
+		cs = &copySet{}
+		w.copies[p.fn.id] = cs
+	}
+	cs.count, cs.loading, cs.byOrder, cs.stateSince, cs.lastUse = max(cs.count, 1), true, false, p.router.now, p.router.now
+	p.router.pendingLoads++
+	p.router.totalCopies++
+	return cs
 }
 
-// lost: a worker that hangs answers no order; it keeps no RPC waiting and takes no other load's place.
-func (in *instance) lost(fn *function, now Time) bool {
-	return in.ordered && float64(now-in.since) > loadLost*fn.load
+// orderOverdue reports whether a load order has gone unanswered for too long, as at a worker that hangs. Such an order
+// keeps no RPC waiting and does not count against the cap of loads.
+func (cs *copySet) orderOverdue(fn *function, now Time) bool {
+	return cs.byOrder && float64(now-cs.stateSince) > orderOverdueFactor*fn.loadTime
 }
 
-// load starts a load under the caps. Where orders are allowed and the ration has room it is ordered, and the
-// RPC waits for whichever copy is free first; else the RPC goes to the loading worker at once.
-// Exception: where lanes stand free at a worker that holds our share, another copy helps only on idle cores.
-func (p *RPC) load(count int, roomy bool) bool {
-	r, fn := p.r, p.fn
-	need := max(fn.recent(r.now), float64(fn.out+1))
-	limit := min(math.Ceil(need/float64(fn.lanes)), max(fnCap, need))
-	// Exception: an RPC held for as long as a load takes lifts the cap to the design's own figure.
-	if p.queued && float64(r.now-p.at) > fn.load {
-		limit = max(fnCap, need)
-	}
-	if float64(count) >= limit {
-		return p.keep(FunctionCap)
-	} else if float64(r.total+1) > r.totalCap {
-		return p.keep(FleetCap)
-	} else if r.now < fn.loadNext {
-		return p.keep(LoadBackoff)
-	} else if float64(r.pending)*r.realShare >= max(r.loadLimit, 1) {
-		return p.keep(LoadPace)
-	}
-	homes := p.homes()
-	told := r.set.num("report.values.util", -1) >= 0
-	if len(homes) == 0 || roomy && !(told && homes[0].util < idleUtil) {
+// startLoad starts a load of the RPC's function within the caps, and reports whether the RPC was sent. Where load
+// orders are allowed and the ration has room, the copy is ordered and the RPC waits for the first free copy; else the
+// RPC itself is sent to the worker and starts the load. Copies is the number of the function's copies, freeLane whether
+// one has a free lane. Exception: if lanes are free at a worker that has this front end's share of RPCs, a further copy
+// is loaded only on idle cores.
+func (p *RPC) startLoad(copies int, freeLane bool) bool {
+	r, fn := p.router, p.fn
+	peak := max(fn.recentPeak(r.now), float64(fn.inFlight+1))
+	limit := min(math.Ceil(peak/float64(fn.lanes)), max(functionCopyCap, peak))
+	// Exception: an RPC queued for longer than a load takes raises the limit to the design's own cap.
+	if p.queued && float64(r.now-p.submittedAt) > fn.loadTime {
+		limit = max(functionCopyCap, peak)
+	}
+	if float64(copies) >= limit {
+		return p.block(FunctionCap)
+	} else if float64(r.totalCopies+1) > r.maxCopies {
+		return p.block(FleetCap)
+	} else if r.now < fn.nextLoad {
+		return p.block(LoadBackoff)
+	} else if float64(r.pendingLoads)*r.storeLoadShare >= max(r.maxLoads, 1) {
+		return p.block(LoadPace)
+	}
+	homes := p.homeWorkers()
+	utilReported := r.settings.number("report.values.util", -1) >= 0
+	if len(homes) == 0 || freeLane && !(utilReported && homes[0].util < idleUtil) {
 		return false
 	}
-	// Exception: where it may, it first asks the first homes for copies that others brought there.
-	if r.set.is("functions.orders") && r.now >= fn.askNext {
-		fn.askNext = r.now + askLasts
-		for _, w := range homes[:min(askHomes, len(homes))] {
-			w.holds[fn.id] = &instance{asked: true, lastUse: r.now}
-			r.port.OrderLoad(w.id, fn.id, 0, forever)
+	// Exception: where load orders are allowed, the first home workers are asked for copies that other front ends had
+	// loaded.
+	if r.settings.enabled("functions.orders") && r.now >= fn.nextAsk {
+		fn.nextAsk = r.now + askInterval
+		for _, w := range homes[:min(maxAskedHomes, len(homes))] {
+			w.copies[fn.id] = &copySet{asked: true, lastUse: r.now}
+			r.actions.OrderLoad(w.id, fn.id, 0, forever)
 		}
-		return p.keep(Asking)
+		return p.block(Asking)
 	}
 	if !r.loadPaceAllows(fn) {
-		return p.keep(LoadPace)
+		return p.block(LoadPace)
 	} else if !r.confirmed(homes[0]) {
-		r.ask(homes[0])
-		return p.keep(Unconfirmed)
+		r.ensureCheck(homes[0])
+		return p.block(Unconfirmed)
 	}
-	r.tokens -= r.realShare
-	if fn.errors >= loadErrors {
-		fn.loadNext = r.now + fn.backoff // one trial load
+	r.loadTokens -= r.storeLoadShare
+	if fn.loadErrors >= haltAfterErrors {
+		fn.nextLoad = r.now + fn.loadBackoff // one trial load per backoff
 	}
-	if r.set.is("functions.orders") && r.orderRationAllows() {
-		p.order(homes[0])
+	if r.settings.enabled("functions.orders") && r.orderRationAllows() {
+		p.orderLoad(homes[0])
 		return false
 	}
-	p.begin(homes[0])
+	p.beginLoad(homes[0])
 	p.send(homes[0])
 	return true
 }
 
-// loadPaceAllows paces loads by what the store is seen to take; our share may be below one at a time. Only
-// the part of them counts that found no copy of another front end's.
+// loadPaceAllows paces loads by a token bucket that follows what the store sustains; this front end's share may be less
+// than one load at a time. Only the share of loads that use the store counts: the others find a copy of another front
+// end.
 func (r *Router) loadPaceAllows(fn *function) bool {
-	r.tokens = min(r.tokens+r.loadLimit*float64(r.now-r.tokensAt)/fn.load, max(r.loadLimit, 1))
-	r.tokensAt = r.now
-	return r.tokens >= r.realShare
+	r.loadTokens = min(r.loadTokens+r.maxLoads*float64(r.now-r.loadTokensAt)/fn.loadTime, max(r.maxLoads, 1))
+	r.loadTokensAt = r.now
+	return r.loadTokens >= r.storeLoadShare
 }
 
-// orderRationAllows keeps rule five: orders within the window, this one included, under the ration. The
-// window is widened by slack: clocks are cut to whole units.
+// orderRationAllows keeps rule five: the load orders within the window, a new one included, stay within the ration.
+// Since times are truncated to whole units, orders count for 1 ms longer than the window and RPCs for 1 ms less.
 func (r *Router) orderRationAllows() bool {
-	window := r.set.span("functions.load-window", 0)
-	within := func(times []Time, slack Time) []Time {
-		return slices.DeleteFunc(times, func(t Time) bool { return t < r.now-window-slack })
+	window := r.settings.duration("functions.load-window", 0)
+	within := func(times []Time, margin Time) []Time {
+		return slices.DeleteFunc(times, func(t Time) bool { return t < r.now-window-margin })
 	}
-	r.orders, r.taken = within(r.orders, ms), within(r.taken, -ms)
-	ration := r.set.num("functions.load-free", 0) + r.set.num("functions.load-share", 0)*float64(len(r.taken))
-	return window == 0 || float64(len(r.orders)+1) <= ration
+	r.recentOrders, r.recentSubmits = within(r.recentOrders, ms), within(r.recentSubmits, -ms)
+	ration := r.settings.number("functions.load-free", 0) + r.settings.number("functions.load-share", 0)*float64(len(r.recentSubmits))
+	return window == 0 || float64(len(r.recentOrders)+1) <= ration
 }
 
-// loaded ends a load, or renews the belief in a warm instance.
-func (r *Router) loaded(fn *function, in *instance, cold, began bool, took float64) {
-	if in.loading {
-		in.loading, in.since = false, r.now
-		r.loadsSeen++
-		weight := 1 / min(realOver, r.loadsSeen+1)
-		if r.realShare -= r.realShare * weight; began {
-			r.realShare += weight
+// loadEnded updates the records after a load, or after an answer from a warm copy. IncludedLoad: a load took place and
+// lasted for took; startedLoad: it was started for this front end, and did not find or join another one's.
+func (r *Router) loadEnded(fn *function, cs *copySet, includedLoad, startedLoad bool, took float64) {
+	if cs.loading {
+		cs.loading, cs.stateSince = false, r.now
+		r.loadsEnded++
+		weight := 1 / min(storeShareLoads, r.loadsEnded+1)
+		if r.storeLoadShare -= r.storeLoadShare * weight; startedLoad {
+			r.storeLoadShare += weight
 		}
 	}
-	if !cold {
+	if !includedLoad {
 		return
 	}
-	if fn.errors >= loadErrors {
-		r.port.Log(fmt.Sprintf("function %d loads again", fn.id))
+	if fn.loadErrors >= haltAfterErrors {
+		r.actions.Log(fmt.Sprintf("function %d loads again", fn.id))
 	}
-	fn.errors, fn.backoff = 0, loadBackMin
+	fn.loadErrors, fn.loadBackoff = 0, minLoadBackoff
 	if r.wasPaused() {
 		return
 	}
-	// the store is shared: loads that take far longer than usual mean fewer at once, everywhere
-	if r.loadLimit += r.loadShare / 16; took > 2.5*fn.load {
-		r.loadLimit = max(r.loadShare/8, r.loadLimit*0.8)
+	// The store is shared: loads that take far longer than usual mean that all front ends must load less at once.
+	if r.maxLoads += r.loadShare / 16; took > 2.5*fn.loadTime {
+		r.maxLoads = max(r.loadShare/8, r.maxLoads*0.8)
 	}
-	fn.load += (min(took, 3*fn.load) - fn.load) / 4
-	r.load = cmp.Or(r.load, took)
-	r.load += (min(took, 3*r.load) - r.load) / 16
+	fn.loadTime += (min(took, 3*fn.loadTime) - fn.loadTime) / 4
+	r.meanLoadTime = cmp.Or(r.meanLoadTime, took)
+	r.meanLoadTime += (min(took, 3*r.meanLoadTime) - r.meanLoadTime) / 16
 }
 
-// LoadsHalted tells whether loads of the function are halted and no copy of it is believed to stand.
+// LoadsHalted reports whether loads of the function are halted and no copy of it is believed to be loaded.
 func (r *Router) LoadsHalted(id FunctionID) bool {
-	fn := r.fns[id]
-	return fn != nil && fn.errors >= loadErrors && !slices.ContainsFunc(r.list, func(w *worker) bool {
-		in := w.holds[id]
-		return in != nil && !in.loading && !in.asked
+	fn := r.functions[id]
+	return fn != nil && fn.loadErrors >= haltAfterErrors && !slices.ContainsFunc(r.sortedWorkers, func(w *worker) bool {
+		cs := w.copies[id]
+		return cs != nil && !cs.loading && !cs.asked
 	})
 }
 
-// loadFailed counts a load error; the third in a row halts loads of the function. The store may fail all of
-// them: until some have ended well, each is taken to find no copy.
+// loadFailed counts a load error; the third in a row halts loads of the function. The store may be failing all loads,
+// so until some succeed each load is assumed to find no copy and to use the store.
 func (r *Router) loadFailed(fn *function) {
-	r.loadLimit = max(r.loadShare/8, r.loadLimit/2)
-	r.tokens, r.realShare, r.loadsSeen = r.tokens-(1-r.realShare), 1, 0
-	if fn.errors++; fn.errors < loadErrors {
+	r.maxLoads = max(r.loadShare/8, r.maxLoads/2)
+	r.loadTokens, r.storeLoadShare, r.loadsEnded = r.loadTokens-(1-r.storeLoadShare), 1, 0
+	if fn.loadErrors++; fn.loadErrors < haltAfterErrors {
 		return
 	}
-	if fn.errors == loadErrors {
-		r.port.Log(fmt.Sprintf("function %d halted: %d load errors", fn.id, fn.errors))
+	if fn.loadErrors == haltAfterErrors {
+		r.actions.Log(fmt.Sprintf("function %d halted: %d load errors", fn.id, fn.loadErrors))
 	}
-	fn.loadNext = r.now + fn.backoff
-	fn.backoff = min(2*fn.backoff, loadBackMax)
+	fn.nextLoad = r.now + fn.loadBackoff
+	fn.loadBackoff = min(2*fn.loadBackoff, maxLoadBackoff)
 }
 
-// LoadOrderEnded answers a load order.
-func (r *Router) LoadOrderEnded(now Time, id WorkerID, fid FunctionID, o Outcome, copies int, took Time) {
+// LoadOrderEnded handles the end of a load order, or the answer to a question for copies.
+func (r *Router) LoadOrderEnded(now Time, id WorkerID, functionID FunctionID, o Outcome, copies int, took Time) {
 	r.now, r.dirty = now, true
-	r.noticePause()
-	w, fn := r.record(id), r.fns[fid]
-	in := w.holds[fid]
-	if began := now - took; o == OK && in != nil && in.ordered && began >= in.since { // else a question's late answer
-		w.proved(in.since)
-	}
-	if in == nil || in.asked {
-		delete(w.holds, fid)
+	r.detectPause()
+	w, fn := r.workerRecord(id), r.functions[functionID]
+	cs := w.copies[functionID]
+	// An earlier start means that this is the late answer to a question for copies.
+	if startedAt := now - took; o == OK && cs != nil && cs.byOrder && startedAt >= cs.stateSince {
+		w.addEvidence(cs.stateSince)
+	}
+	if cs == nil || cs.asked {
+		delete(w.copies, functionID)
 		if copies > 0 && w.state == Ready {
-			w.holds[fid] = &instance{copies: copies, since: now, lastUse: now}
+			w.copies[functionID] = &copySet{count: copies, stateSince: now, lastUse: now}
 		}
 		return
 	}
 	switch {
-	case copies == 0 && !in.ordered: // a late answer to a question
-	case o == Reset && !in.lost(fn, now) && w.state == Ready && r.confirmed(w) && r.orderRationAllows():
-		r.orders = append(r.orders, now) // the order stands, but nobody would tell of its end
-		r.port.OrderLoad(id, fid, 1, r.sendBy(w))
+	case copies == 0 && !cs.byOrder: // late answer to a question for copies
+	case o == Reset && !cs.orderOverdue(fn, now) && w.state == Ready && r.confirmed(w) && r.orderRationAllows():
+		r.recentOrders = append(r.recentOrders, now) // the worker still loads, but could not report the end
+		r.actions.OrderLoad(id, functionID, 1, r.sendDeadline(w))
 	case o == OK || copies > 0:
-		in.copies, in.lastUse, in.ordered = max(copies, 1), now, false
-		w.heard = now
-		r.loaded(fn, in, in.loading, in.loading, float64(took))
+		cs.count, cs.lastUse, cs.byOrder = max(copies, 1), now, false
+		w.lastAnswer = now
+		r.loadEnded(fn, cs, cs.loading, cs.loading, float64(took))
 	case o == Errored:
-		delete(w.holds, fn.id)
+		delete(w.copies, fn.id)
 		r.loadFailed(fn)
 	case o == Full:
 		w.fullUntil = now + sec/4
-		delete(w.holds, fn.id)
+		delete(w.copies, fn.id)
 	default:
-		delete(w.holds, fn.id)
-		fn.loadNext = max(fn.loadNext, now+fn.backoff)
+		delete(w.copies, fn.id)
+		fn.nextLoad = max(fn.nextLoad, now+fn.loadBackoff)
 	}
 }
--- a/router/membership.go
+++ b/router/membership.go
@@ -6,28 +6,29 @@
 	"slices"
 )
 
-// This file decides the list of workers, and settings that change.
+// This file handles the worker list and changes of the settings.
 
-// takeSettings takes methods and customers over, and keeps what was learned of those known before.
-func (r *Router) takeSettings(p ParsedSettings) {
-	r.set, r.zone = p.set, ZoneID(p.set.num("zone", 0))
-	for i, was := range r.methods {
-		m := p.methods[i]
-		m.work, m.cost, m.most = was.work, was.cost, was.most
-		was.effect, was.group, was.window = StricterEffect(was.effect, was.group, was.window, m.effect, m.group, m.window)
+// adoptSettings replaces methods and customers, and keeps what was learned about those known before.
+func (r *Router) adoptSettings(parsed ParsedSettings) {
+	r.settings, r.zone = parsed.settings, ZoneID(parsed.settings.number("zone", 0))
+	for i, old := range r.methods {
+		updated := parsed.methods[i]
+		updated.runTime, updated.coreTime, updated.maxBudget = old.runTime, old.coreTime, old.maxBudget
+		old.effect, old.group, old.window = StricterEffect(old.effect, old.group, old.window, updated.effect, updated.group, updated.window)
 	}
-	r.methods = p.methods
-	r.timeList()
-	for i, quota := range p.quotas {
+	r.methods = parsed.methods
+	r.updateListValidity()
+	for i, quota := range parsed.quotas {
 		if i == len(r.customers) {
-			r.customers = append(r.customers, &customer{tokens: quota * float64(sec), at: r.now})
+			r.customers = append(r.customers, &customer{tokens: quota * float64(sec), refilledAt: r.now})
 		}
 		r.customers[i].quota = quota
 	}
 }
 
-// StricterEffect is what binds an RPC that was taken before its method's settings changed: nothing is promised to
-// it that either does not promise. Where the effect became graver it may lack the token: it never runs twice.
+// StricterEffect returns what binds an RPC that was submitted before its method's settings changed: only what both the
+// old and the new settings promise. If the effect became more severe, the RPC may lack a token, so it must never run
+// twice.
 func StricterEffect(effect, group string, window Time, effect2, group2 string, window2 Time) (_, _ string, _ Time) {
 	effects, groups := []string{Idempotent, Tokened, SideEffecting}, []string{"all", "zone", "cell"}
 	if slices.Index(effects, effect2) > slices.Index(effects, effect) {
@@ -39,105 +40,107 @@
 	return effect, group, window
 }
 
-// UpdateSettings takes new settings between two turns. Methods, customers, zones and kinds keep their places, new ones
-// follow. What was learned stays; where a rule looks further back now, what is forgotten counts as used up.
-func (r *Router) UpdateSettings(now Time, p ParsedSettings) {
-	s := p.set
+// UpdateSettings applies new settings between two turns of the event loop. Methods, customers, zones and kinds keep
+// their indexes; new ones are appended. What was learned stays. If the window of a rule grows, the time for which
+// nothing was recorded counts as used up.
+func (r *Router) UpdateSettings(now Time, parsed ParsedSettings) {
+	s := parsed.settings
 	r.now, r.dirty = now, true
-	orders, fall := r.set.span("functions.load-window", 0), r.set.span("rules.fall", sec)
-	warm, all := slices.DeleteFunc(slices.Clone(r.list), r.cold), r.frontEnds()
-	r.takeSettings(p)
-	r.rescale(all)
-	if s.span("functions.load-window", 0) > orders {
-		for range int(s.num("functions.load-free", 0)) {
-			r.orders = append(r.orders, now)
+	oldLoadWindow, oldFallWindow := r.settings.duration("functions.load-window", 0), r.settings.duration("rules.fall", sec)
+	warm, oldFrontEnds := slices.DeleteFunc(slices.Clone(r.sortedWorkers), r.isCold), r.frontEnds()
+	r.adoptSettings(parsed)
+	r.rescale(oldFrontEnds)
+	if s.duration("functions.load-window", 0) > oldLoadWindow {
+		for range int(s.number("functions.load-free", 0)) {
+			r.recentOrders = append(r.recentOrders, now)
 		}
 	}
-	for _, w := range r.list {
-		if r.cold(w) && (s.span("rules.fall", sec) > fall || slices.Contains(warm, w)) {
-			w.sent = append(w.sent, callOut{at: now, cost: math.Inf(1)})
+	for _, w := range r.sortedWorkers {
+		if r.isCold(w) && (s.duration("rules.fall", sec) > oldFallWindow || slices.Contains(warm, w)) {
+			w.coldSent = append(w.coldSent, callOut{sentAt: now, cost: math.Inf(1)})
 		}
 	}
 }
 
-// rescale starts afresh what means something else now: our part of the fleet where front ends were added
-// or left, and what is told no more. What warm workers do for us only shrinks: rule four rests on that.
-func (r *Router) rescale(before float64) {
-	part := before / r.frontEnds()
-	if part != 1 {
-		r.loadLimit, r.loadShare, r.tokens = r.loadLimit*part, r.loadShare*part, min(r.tokens, 1)
-		r.fleetFactor = factorMost / 2.
+// rescale adjusts what has another meaning under the new settings: this front end's share of the fleet if the number of
+// front ends changed, and values that are no longer reported. The recorded work of warm workers only shrinks, since the
+// cold budget of rule four is derived from it.
+func (r *Router) rescale(oldFrontEnds float64) {
+	ratio := oldFrontEnds / r.frontEnds()
+	if ratio != 1 {
+		r.maxLoads, r.loadShare, r.loadTokens = r.maxLoads*ratio, r.loadShare*ratio, min(r.loadTokens, 1)
+		r.fleetFactor = maxFleetFactor / 2.
 		for kind := range r.warmWork {
-			r.warmWork[kind] *= min(part, 1)
+			r.warmWork[kind] *= min(ratio, 1)
 		}
 	}
-	for _, w := range r.list {
-		w.served *= min(part, 1)
-		if r.set.num("report.values.util", -1) < 0 {
+	for _, w := range r.sortedWorkers {
+		w.recentWork *= min(ratio, 1)
+		if r.settings.number("report.values.util", -1) < 0 {
 			w.util = 0
 		}
-		if r.set.num("report.values.pinned", -1) < 0 {
+		if r.settings.number("report.values.pinned", -1) < 0 {
 			w.pinned = 0
 		}
-		if r.set["functions.tells-crowd"] == false {
-			for _, in := range w.holds {
-				in.others = 0
+		if r.settings["functions.tells-crowd"] == false {
+			for _, cs := range w.copies {
+				cs.otherRPCs = 0
 			}
 		}
 	}
 }
 
-// BeginWorkerList, Listed and ListEnds bring the list of workers, or its changes.
-func (r *Router) BeginWorkerList(now Time, form ListUpdate, _ uint64) {
+// BeginWorkerList starts a worker list or a list of changes. AddListedWorker brings its entries, EndWorkerList ends it.
+func (r *Router) BeginWorkerList(now Time, update ListUpdate, _ uint64) {
 	r.now, r.dirty = now, true
-	if form == ListFailed {
-		r.port.SetTimer(sec, listenAgain)
+	if update == ListFailed {
+		r.actions.SetTimer(sec, resubscribeToken)
 	}
-	for _, w := range r.list {
-		w.listed = form == ListChanges || form == ListFailed
+	for _, w := range r.sortedWorkers {
+		w.inList = update == ListChanges || update == ListFailed
 	}
 }
 
-// AddListedWorker is one entry of the list.
+// AddListedWorker handles one entry of the worker list.
 func (r *Router) AddListedWorker(now Time, id WorkerID, state Readiness, started Time, zone ZoneID, cell CellID,
 	kind KindID, _ float64) {
 	w := r.workers[id]
 	if w == nil {
-		w = &worker{id: id, started: started, known: started > 0, slow: 1, provenAt: never, passedAt: never,
-			holds: map[FunctionID]*instance{}}
-		r.workers[id], r.list = w, append(r.list, w)
-		slices.SortFunc(r.list, func(a, b *worker) int { return cmp.Compare(a.id, b.id) })
+		w = &worker{id: id, started: started, startKnown: started > 0, slowness: 1, evidenceAt: never, checkPassedAt: never,
+			copies: map[FunctionID]*copySet{}}
+		r.workers[id], r.sortedWorkers = w, append(r.sortedWorkers, w)
+		slices.SortFunc(r.sortedWorkers, func(a, b *worker) int { return cmp.Compare(a.id, b.id) })
 	} else if started > w.started {
-		w.restart(started)
-		w.ill, w.trial = "", false
+		w.resetForRestart(started)
+		w.symptom, w.trialAllowed = "", false
 	}
-	w.listed, w.zone, w.cell, w.kind = true, zone, cell, kind
-	w.become(state)
+	w.inList, w.zone, w.cell, w.kind = true, zone, cell, kind
+	w.setState(state)
 }
 
-// become takes over a state from the list: what drains or is gone holds nothing for us.
-func (w *worker) become(state Readiness) {
+// setState sets the worker's state. The copies of a worker that drains or is removed are no longer usable.
+func (w *worker) setState(state Readiness) {
 	if w.state = state; state != Ready {
-		clear(w.holds)
+		clear(w.copies)
 	}
 }
 
-// EndWorkerList closes the list: what a whole list leaves out is gone.
+// EndWorkerList ends the worker list: workers that a complete list leaves out are removed.
 func (r *Router) EndWorkerList(now Time) {
-	for _, w := range r.list {
-		if !w.listed {
-			w.become(Gone)
+	for _, w := range r.sortedWorkers {
+		if !w.inList {
+			w.setState(Removed)
 		}
 	}
-	r.count()
+	r.countCopies()
 	ready := 0.0
-	for _, w := range r.list {
+	for _, w := range r.sortedWorkers {
 		if w.state == Ready {
 			ready++
 		}
 	}
-	// two loads a worker; a fleet that comes one worker after the other has its room grow with it
-	if grown := 2*ready/r.frontEnds() - r.loadShare; grown > 0 {
-		r.loadLimit, r.loadShare, r.tokens = r.loadLimit+grown, r.loadShare+grown, max(r.tokens+grown, 1)
+	// Two loads for each worker. The caps also grow while the workers of a new fleet appear one after the other.
+	if added := 2*ready/r.frontEnds() - r.loadShare; added > 0 {
+		r.maxLoads, r.loadShare, r.loadTokens = r.maxLoads+added, r.loadShare+added, max(r.loadTokens+added, 1)
 	}
 }
--- a/router/placement.go
+++ b/router/placement.go
@@ -7,247 +7,266 @@
 	"slices"
 )
 
-// This file decides which worker an RPC goes to: the path, a function's homes, bounds of worker and fleet.
+// This file decides which worker an RPC is sent to: the ordinary path, the home workers of a function, and the limits
+// of a worker and of the fleet.
 
-// place is the ordinary path: a warm instance with room, else a load. It tells whether the RPC went out.
+// place is the ordinary path: a warm copy with a free lane, else a load. It reports whether the RPC was sent.
 func (p *RPC) place() bool {
-	r := p.r
-	if p.spent() {
-		return p.keep(Attempts)
+	r := p.router
+	if p.attemptsExhausted() {
+		return p.block(Attempts)
 	}
 	var best, joining *worker
-	count, roomy, asking, loading := 0, false, false, false
-	for _, w := range r.list {
-		in := w.holds[p.fn.id]
-		if in == nil || p.barred(w) != NoTime {
+	copies, freeLane, asking, loading := 0, false, false, false
+	for _, w := range r.sortedWorkers {
+		cs := w.copies[p.fn.id]
+		if cs == nil || p.reasonAgainst(w) != NoTime {
 			continue
 		}
-		asking, loading = asking || in.asked, loading || in.loading
-		count += in.copies
-		if in.asked || in.lost(p.fn, r.now) || !in.hasRoom(p.fn, r.now) {
+		asking, loading = asking || cs.asked, loading || cs.loading
+		copies += cs.count
+		if cs.asked || cs.orderOverdue(p.fn, r.now) || !cs.hasFreeLane(p.fn, r.now) {
 			continue
 		}
-		if roomy = true; !r.open(w) {
+		if freeLane = true; !r.hasCapacity(w) {
 			continue
 		}
-		if in.loading {
-			if !in.ordered && (joining == nil || p.before(w, joining)) {
+		if cs.loading {
+			if !cs.byOrder && (joining == nil || p.betterThan(w, joining)) {
 				joining = w
 			}
 		} else if best == nil || p.preferred(w, best) {
 			best = w
 		}
 	}
-	// Exceptions: from a far instance, or one with others waiting, a copy is ordered where ours should stand.
-	if best != nil && (r.far(best) || p.behind(best) >= farBehind) && r.set.is("functions.orders") &&
-		count < fnCap && r.now >= p.fn.loadNext {
-		if homes := p.homes(); len(homes) > 0 && !r.far(homes[0]) && r.confirmed(homes[0]) && r.orderRationAllows() {
-			p.order(homes[0])
+	// Exceptions: if the best copy is in another zone, or has many RPCs ahead, a further copy is ordered at the
+	// function's home in this front end's zone.
+	if best != nil && (r.inOtherZone(best) || p.queueAhead(best) >= extraCopyQueue) && r.settings.enabled("functions.orders") &&
+		copies < functionCopyCap && r.now >= p.fn.nextLoad {
+		if homes := p.homeWorkers(); len(homes) > 0 && !r.inOtherZone(homes[0]) && r.confirmed(homes[0]) && r.orderRationAllows() {
+			p.orderLoad(homes[0])
 		}
 	}
-	if best == nil && p.hasWaited() && !p.timeToLoad() { // it would end waiting, and the load in vain
-		return p.keep(cmp.Or(p.reason, LoadTime)) // what held it before tells more
+	// The RPC would run out of time while it waits, and the load would be of no use to it. What blocked it before says
+	// more than the lack of time.
+	if best == nil && p.hasWaited() && !p.hasTimeToLoad() {
+		return p.block(cmp.Or(p.blockReason, LoadTime))
 	}
-	if best = cmp.Or(best, joining); best != nil { // exception: it joins a load of ours, within its lanes
+	// Exception: the RPC joins a load that this front end started, if the copy will have a free lane.
+	if best = cmp.Or(best, joining); best != nil {
 		if !r.confirmed(best) {
-			r.ask(best)
-			return p.keep(Unconfirmed)
+			r.ensureCheck(best)
+			return p.block(Unconfirmed)
 		}
 		p.send(best)
 		return true
 	}
 	if asking {
-		return p.keep(Asking)
-	} else if p.keep(Lanes); roomy && loading {
+		return p.block(Asking)
+	} else if p.block(Lanes); freeLane && loading {
 		return false
 	}
-	return p.load(count, roomy)
+	return p.startLoad(copies, freeLane)
 }
 
-// hasWaited: the RPC was held. A worker's check alone takes next to no time.
+// hasWaited reports whether the RPC was queued before this turn. Waiting for a worker's check alone does not count: it
+// takes next to no time.
 func (p *RPC) hasWaited() bool {
-	return p.at < p.r.now && !(p.reason == Unconfirmed && p.r.now-p.at <= askWait)
+	return p.submittedAt < p.router.now && !(p.blockReason == Unconfirmed && p.router.now-p.submittedAt <= askTimeout)
 }
 
-// keep notes what keeps the RPC from going out; it is false, as place's answer.
-func (p *RPC) keep(why Reason) bool {
-	p.reason = why
+// block records why the RPC is not sent. It returns false, as place does then.
+func (p *RPC) block(reason Reason) bool {
+	p.blockReason = reason
 	return false
 }
 
-// spare guards workers against many front ends that each send little: RPCs that may go out before ours out,
-// loads waited for aside, reach our share of fleetBusy for each worker that takes any.
-func (r *Router) spare(late bool) int {
-	well, all, factor := 0.0, r.frontEnds(), r.fleetFactor
+// sendAllowance protects workers from many front ends that each send little. It returns how many RPCs may be sent until
+// this front end's RPCs in flight, those that wait for a load left out, reach its share of fleetInFlightCap for each
+// healthy worker. Late: for RPCs whose answers would be late.
+func (r *Router) sendAllowance(late bool) int {
+	healthy, frontEnds, factor := 0.0, r.frontEnds(), r.fleetFactor
 	if late {
-		factor = lateFactor
+		factor = lateFleetFactor
 	}
-	for _, w := range r.list {
-		if w.state == Ready && (w.ill == "" || r.allIll) {
-			well++
+	for _, w := range r.sortedWorkers {
+		if w.state == Ready && (w.symptom == "" || r.ignoreHealth) {
+			healthy++
 		}
 	}
-	most := max(1, int(factor*fleetBusy*well/all+1-(r.set.num("me", 0)+1)/all))
-	for _, p := range r.out {
-		if c := &p.calls[len(p.calls)-1]; !c.in.loading && (c.w.ill == "" || r.allIll) {
-			most--
+	allowance := max(1, int(factor*fleetInFlightCap*healthy/frontEnds+1-(r.settings.number("me", 0)+1)/frontEnds))
+	for _, p := range r.inFlight {
+		if c := &p.callOuts[len(p.callOuts)-1]; !c.copies.loading && (c.worker.symptom == "" || r.ignoreHealth) {
+			allowance--
 		}
 	}
-	return most
+	return allowance
 }
 
-// learnFleetFactor learns from a warm answer how much more than our even share of the fleet we may use.
+// learnFleetFactor adjusts, after an answer from a warm copy, how far this front end may exceed its even share of the
+// fleet.
 func (r *Router) learnFleetFactor(inTime bool) {
 	if inTime {
-		r.fleetFactor = min(r.fleetFactor+factorUp, factorMost)
+		r.fleetFactor = min(r.fleetFactor+fleetFactorStep, maxFleetFactor)
 	} else {
-		r.fleetFactor = max(1, r.fleetFactor*(1-factorDown))
+		r.fleetFactor = max(1, r.fleetFactor*(1-fleetFactorDrop))
 	}
 }
 
-// preferred orders two workers with a warm instance that has room: by evidence, by zone, then as the design does.
+// preferred reports whether w precedes best, both with a warm copy that has a free lane: by evidence that it does not
+// drain, by zone, then by betterThan.
 func (p *RPC) preferred(w, best *worker) bool {
-	r := p.r
-	if r.confirmed(w) != r.confirmed(best) { // one that is need not be asked
+	r := p.router
+	// A confirmed worker needs no check.
+	if r.confirmed(w) != r.confirmed(best) {
 		return r.confirmed(w)
 	}
-	return r.far(best) && !r.far(w) || r.far(w) == r.far(best) && p.before(w, best)
+	return r.inOtherZone(best) && !r.inOtherZone(w) || r.inOtherZone(w) == r.inOtherZone(best) && p.betterThan(w, best)
 }
 
-func (r *Router) far(w *worker) bool { return r.ownZoneFirst && w.zone != r.zone }
+// inOtherZone reports whether the worker is in another zone while loads stay in the own one.
+func (r *Router) inOtherZone(w *worker) bool { return r.ownZoneFirst && w.zone != r.zone }
 
-// before is the design's order of ties among warm instances; active counts others' RPCs as last told, and
-// those that answers slower than elsewhere tell of.
-func (p *RPC) before(w, best *worker) bool {
-	in, other := w.holds[p.fn.id], best.holds[p.fn.id]
-	c := p.behind(w) - p.behind(best)
-	if p.r.rarelyConfirmed() { // keeps most workers confirmed
-		c = cmp.Or(c, cmp.Compare(w.provenAt, best.provenAt))
+// betterThan is the design's order of warm copies: fewest RPCs ahead, fewest completed, longest unused, first loaded.
+// RPCs ahead include those of other front ends as last reported, and as suggested by answers that are slower than
+// elsewhere.
+func (p *RPC) betterThan(w, best *worker) bool {
+	cs, other := w.copies[p.fn.id], best.copies[p.fn.id]
+	c := p.queueAhead(w) - p.queueAhead(best)
+	// Using the oldest evidence first keeps most workers confirmed.
+	if p.router.onlyRPCsConfirm() {
+		c = cmp.Or(c, cmp.Compare(w.evidenceAt, best.evidenceAt))
 	}
-	c = cmp.Or(c, in.executed-other.executed, cmp.Compare(in.lastUse, other.lastUse), cmp.Compare(in.since, other.since))
-	return c < 0 || c == 0 && p.r.rng.Intn(2) == 0
+	c = cmp.Or(c, cs.completed-other.completed, cmp.Compare(cs.lastUse, other.lastUse), cmp.Compare(cs.stateSince, other.stateSince))
+	return c < 0 || c == 0 && p.router.rng.Intn(2) == 0
 }
 
-// behind is how many RPCs stand before one that goes to the warm instance there, as far as we know.
-func (p *RPC) behind(w *worker) int {
-	in := w.holds[p.fn.id]
-	return in.active + int(math.Round(in.others)+math.Round(w.slow/p.r.slow-1))
+// queueAhead estimates how many RPCs precede a new one at the worker's warm copy.
+func (p *RPC) queueAhead(w *worker) int {
+	cs := w.copies[p.fn.id]
+	return cs.inFlight + int(math.Round(cs.otherRPCs)+math.Round(w.slowness/p.router.medianSlowness-1))
 }
 
-// hasRoom: own RPCs there, and what answers tell of other front ends', leave a lane free.
-func (in *instance) hasRoom(fn *function, now Time) bool {
-	return float64(in.active)+math.Round(in.crowd(now)) < float64(in.copies*fn.lanes)
+// hasFreeLane reports whether the RPCs of this front end and the estimated ones of others leave a lane free.
+func (cs *copySet) hasFreeLane(fn *function, now Time) bool {
+	return float64(cs.inFlight)+math.Round(cs.estimatedOthers(now)) < float64(cs.count*fn.lanes)
 }
 
-// crowd is what is left of the last news of other front ends' RPCs there.
-func (in *instance) crowd(now Time) float64 { return in.others * fade(now-in.toldAt, crowdFade) }
+// estimatedOthers is the decayed estimate of other front ends' RPCs at the copies.
+func (cs *copySet) estimatedOthers(now Time) float64 {
+	return cs.otherRPCs * decay(now-cs.reportedAt, othersDecay)
+}
 
-// homes are the workers for a new load, best first. A rendezvous hash of function and worker ranks them, so
-// that front ends that share nothing agree: the first, as many as keep the function's work under a part of
-// what a mean worker does, come in an order of our own. One that is busy or full is passed over.
-func (p *RPC) homes() []*worker {
-	r, fn := p.r, p.fn
+// homeWorkers returns the workers for a new load, best first. A rendezvous hash of function and worker ranks them, so
+// that front ends agree without sharing state. The first ones are the function's homes, so many that its work takes at
+// most 1/homeFactor of a mean worker's work at each; each front end has an order of its own among them. Busy and full
+// workers are left out. If no worker remains, the most frequent reason blocks the RPC.
+func (p *RPC) homeWorkers() []*worker {
+	r, fn := p.router, p.fn
 	var homes []*worker
-	mean, near, count := 0.0, 0, 0
-	for _, w := range r.list {
-		mean += float64(w.active) / float64(len(r.list))
-		if w.state == Ready && !r.far(w) {
-			near++
+	meanInFlight, ownZone, withCopies := 0.0, 0, 0
+	for _, w := range r.sortedWorkers {
+		meanInFlight += float64(w.inFlight) / float64(len(r.sortedWorkers))
+		if w.state == Ready && !r.inOtherZone(w) {
+			ownZone++
 		}
 	}
-	barred := [reasonCount]int{NotReady: 1} // of equals the first counts
-	for _, w := range r.list {
-		if w.state == Ready && w.holds[fn.id] != nil {
-			count++
+	reasons := [reasonCount]int{NotReady: 1} // on a tie the first reason wins
+	for _, w := range r.sortedWorkers {
+		if w.state == Ready && w.copies[fn.id] != nil {
+			withCopies++
 			continue
 		}
-		bar, told := p.barred(w), r.now-w.told < reportLasts
-		if bar == NoTime && !r.open(w) {
-			bar = WorkerShare
-		} else if bar == NoTime && (float64(w.active) > 1.5*mean+1 || told && (w.util > 0.95 || w.pinned > pinnedFull)) {
-			bar = BusyWorkers
+		reason, reported := p.reasonAgainst(w), r.now-w.reportedAt < reportValidity
+		if reason == NoTime && !r.hasCapacity(w) {
+			reason = WorkerShare
+		} else if reason == NoTime && (float64(w.inFlight) > 1.5*meanInFlight+1 || reported && (w.util > 0.95 || w.pinned > fullPinnedShare)) {
+			reason = BusyWorkers
 		}
-		if barred[bar]++; bar == NoTime {
+		if reasons[reason]++; reason == NoTime {
 			homes = append(homes, w)
 		}
 	}
 	if len(homes) == 0 {
-		p.keep(Reason(slices.Index(barred[:], slices.Max(barred[:]))))
+		p.block(Reason(slices.Index(reasons[:], slices.Max(reasons[:]))))
 	}
 	rank := func(w *worker) uint64 {
-		if r.far(w) {
-			return mix(uint64(fn.id)*spread^uint64(w.id)) >> 1
+		if r.inOtherZone(w) {
+			return hash64(uint64(fn.id)*hashMultiplier^uint64(w.id)) >> 1
 		}
-		return mix(uint64(fn.id)*spread^uint64(w.id)) | 1<<63
+		return hash64(uint64(fn.id)*hashMultiplier^uint64(w.id)) | 1<<63
 	}
 	slices.SortFunc(homes, func(a, b *worker) int { return cmp.Compare(rank(b), rank(a)) })
-	n := min(len(homes), max(1, 1+int(homeShare*p.share()*float64(near))-count))
-	for n > 1 && r.far(homes[n-1]) {
+	n := min(len(homes), max(1, 1+int(homeFactor*p.workShare()*float64(ownZone))-withCopies))
+	for n > 1 && r.inOtherZone(homes[n-1]) {
 		n--
 	}
-	me := uint64(r.set.num("me", 0)) * spread
-	slices.SortFunc(homes[:n], func(a, b *worker) int { return cmp.Compare(mix(rank(b)^me), mix(rank(a)^me)) })
+	me := uint64(r.settings.number("me", 0)) * hashMultiplier
+	slices.SortFunc(homes[:n], func(a, b *worker) int { return cmp.Compare(hash64(rank(b)^me), hash64(rank(a)^me)) })
 	return homes
 }
 
-// share is the function's part of the work asked for, this RPC left out: it is why we look. Front ends that
-// carry little see few RPCs, so a guess comes first and gives way to what was seen.
-func (p *RPC) share() float64 {
-	one := p.m.mean()
-	return (max(0, p.fn.asked-one) + shareBefore*shareWeight*one) / (max(0, p.r.asked-one) + shareWeight*one)
+// workShare is the function's share of the submitted work. This RPC is left out, since its arrival is why the share is
+// computed. A front end with little traffic sees few RPCs, so the share starts from a prior estimate, which gives way
+// to observations.
+func (p *RPC) workShare() float64 {
+	rpcCost := p.method.meanCost()
+	return (max(0, p.fn.recentWork-rpcCost) + priorShare*priorShareWeight*rpcCost) / (max(0, p.router.recentWork-rpcCost) + priorShareWeight*rpcCost)
 }
 
-// barred tells which rule or what of the worker's health keeps this RPC from it now; NoTime: none does.
-func (p *RPC) barred(w *worker) Reason {
-	r := p.r
+// reasonAgainst returns the rule or health state that keeps this RPC from the worker now, or NoTime if there is none.
+func (p *RPC) reasonAgainst(w *worker) Reason {
+	r := p.router
 	if w.state != Ready {
 		return NotReady
 	} else if !r.usable(w) {
 		return Unconfirmed
-	} else if !r.coldRoom(w, p.m) {
+	} else if !r.coldBudgetAllows(w, p.method) {
 		return ColdWorkers
 	}
-	// a way back: one RPC that may be repeated tries a worker whose pause is over
-	if w.ill != "" && !r.allIll && (!w.trial || w.active > 0 || p.m.effect == SideEffecting) {
+	// Once its pause is over, an unhealthy worker is tried with one RPC that may be repeated.
+	if w.symptom != "" && !r.ignoreHealth && (!w.trialAllowed || w.inFlight > 0 || p.method.effect == SideEffecting) {
 		return UnhealthyWorkers
 	}
-	for _, c := range p.calls {
-		if c.w == w && !c.broke && r.now-c.at < sec {
+	for _, c := range p.callOuts {
+		if c.worker == w && !c.connBroke && r.now-c.sentAt < sec {
 			return Repeats
 		}
 	}
-	if !p.mayRepeatAt(w) {
+	if !p.mayRetryAt(w) {
 		return Repeats
 	}
 	return NoTime
 }
 
-// open: the worker is not full, nor holds our share of RPCs; those that wait for a load don't count.
-func (r *Router) open(w *worker) bool {
-	room := int(max(2, workerBusy/r.frontEnds(), w.bound)) - w.active
-	if r.now < w.fullUntil || room > 0 {
+// hasCapacity reports whether the worker is neither full nor has this front end's share of RPCs. RPCs that wait for a
+// load do not count.
+func (r *Router) hasCapacity(w *worker) bool {
+	free := int(max(2, workerInFlightCap/r.frontEnds(), w.maxInFlight)) - w.inFlight
+	if r.now < w.fullUntil || free > 0 {
 		return r.now >= w.fullUntil
 	}
-	for _, in := range w.holds {
-		if in.loading {
-			room += in.active
+	for _, cs := range w.copies {
+		if cs.loading {
+			free += cs.inFlight
 		}
 	}
-	return room > 0
+	return free > 0
 }
 
-// updateZonePreference: where crossing has a price and this zone's memory holds all functions seen with room
-// to spare, loads stay in the zone and its instances come first (exception to one home for all front ends).
+// updateZonePreference decides whether loads stay in the zone and its copies come first: where crossing zones has a
+// price and the zone's memory holds all known functions with room to spare. This is an exception to the rule that all
+// front ends share a function's homes.
 func (r *Router) updateZonePreference() {
-	room := 0.0
-	for _, w := range r.list {
+	memory := 0.0
+	for _, w := range r.sortedWorkers {
 		if w.state == Ready && w.zone == r.zone {
-			room += r.memory(w)
+			memory += r.workerMemory(w)
 		}
 	}
-	near := r.set.num("price.cross-zone", 0) > 0 && r.now > r.born+needFade && room > zoneSpare*r.seen
-	if near != r.ownZoneFirst {
-		r.ownZoneFirst = near
-		r.port.Log(fmt.Sprintf("loads stay in the zone: %t, memory %.0f MB, functions %.0f MB", near, room, r.seen))
+	stayInZone := r.settings.number("price.cross-zone", 0) > 0 && r.now > r.createdAt+peakDecay && memory > zoneMemoryFactor*r.functionMemory
+	if stayInZone != r.ownZoneFirst {
+		r.ownZoneFirst = stayInZone
+		r.actions.Log(fmt.Sprintf("loads stay in the zone: %t, memory %.0f MB, functions %.0f MB", stayInZone, memory, r.functionMemory))
 	}
 }
--- a/router/queue.go
+++ b/router/queue.go
@@ -5,105 +5,115 @@
 	"slices"
 )
 
-// This file decides RPCs that are held: their order, and when they are given up.
+// This file handles queued RPCs: their order, and when they are given up.
 
-// hold queues the RPC; a full queue gives up its least gain, latest first.
-func (p *RPC) hold() {
-	r := p.r
+// enqueue queues the RPC. If its function has too many queued RPCs, the one with the least gain is given up, the latest
+// among equals.
+func (p *RPC) enqueue() {
+	r := p.router
 	p.queued = true
-	p.fn.held++
-	r.held = append(r.held, p)
+	p.fn.queued++
+	r.queue = append(r.queue, p)
 	least := p
-	for _, q := range r.held {
-		if p.fn.held > queueCap && q.fn == p.fn && q.worth() < least.worth() {
+	for _, q := range r.queue {
+		if p.fn.queued > functionQueueCap && q.fn == p.fn && q.currentGain() < least.currentGain() {
 			least = q
 		}
 	}
-	if r.now >= p.leaveAt() { // a client's last try may come with almost no time left
+	if r.now >= p.giveUpAt() { // a client's last try may arrive with almost no time left
 		p.giveUp()
-	} else if p.fn.held > queueCap {
+	} else if p.fn.queued > functionQueueCap {
 		least.giveUp()
 	}
 }
 
-func (p *RPC) unhold() {
+// dequeue removes the RPC from the queue if it is queued.
+func (p *RPC) dequeue() {
 	if p.queued {
 		p.queued = false
-		p.fn.held--
-		p.r.held = slices.DeleteFunc(p.r.held, func(q *RPC) bool { return q == p })
+		p.fn.queued--
+		p.router.queue = slices.DeleteFunc(p.router.queue, func(q *RPC) bool { return q == p })
 	}
 }
 
-// giveUp answers at once: denied where a retry is harmless, to come back as late as is heeded, else aborted.
+// giveUp answers the RPC at once: denied where a retry is harmless, with the longest time to retry after that clients
+// respect, else aborted.
 func (p *RPC) giveUp() {
-	p.unhold()
+	p.dequeue()
 	p.ended = true
-	if (p.mayHave || p.out > 0) && (p.m.effect == SideEffecting || p.m.effect == Tokened && p.m.group != "all") {
-		p.r.port.Abort(p.id, p.reason)
+	if (p.mayHaveRun || p.inFlight > 0) && (p.method.effect == SideEffecting || p.method.effect == Tokened && p.method.group != "all") {
+		p.router.actions.Abort(p.id, p.blockReason)
 		return
 	}
-	comeBack := p.r.set.span("may.come-back", 0)
-	if p.r.set["may.advise"] == false {
-		comeBack = 0 // clients are not given it; their own back-off is all there is
+	retryAfter := p.router.settings.duration("may.come-back", 0)
+	if p.router.settings["may.advise"] == false {
+		retryAfter = 0 // clients do not receive it and use their own backoff
 	}
-	p.r.port.Deny(p.id, comeBack, p.reason)
+	p.router.actions.Deny(p.id, retryAfter, p.blockReason)
 }
 
-// leaveAt is the last moment at which sending a held RPC still makes sense; at it, it is given up. A client's
-// repeat comes after a try has spent all its time: where that was short, the RPC likely works for longer. One
-// that never went out is given up while its client has half of its time left to try again elsewhere.
-func (p *RPC) leaveAt() Time {
-	need := p.work()
+// giveUpAt is the time at which a queued RPC is given up: the last moment at which sending it is still useful. A
+// client's repeat follows a try that used up its time; if that time was short, the RPC probably runs for longer than
+// usual. An RPC that was never sent is given up, once it is late, while its client has half of its time left for a try
+// elsewhere.
+func (p *RPC) giveUpAt() Time {
+	needed := p.runTime()
 	if p.repeat {
-		need *= repeatWorks
+		needed *= repeatTimeFactor
 	}
-	leave := p.end - max(Time(need), 2*beat)
-	if len(p.calls) == 0 {
-		leave = min(leave, max(p.late, p.end-(p.end-p.at)/2)-2*beat)
+	latest := p.timeoutAt - max(Time(needed), 2*housekeepingInterval)
+	if len(p.callOuts) == 0 {
+		latest = min(latest, max(p.softDeadline, p.timeoutAt-(p.timeoutAt-p.submittedAt)/2)-2*housekeepingInterval)
 	}
-	return leave
+	return latest
 }
 
-// work is the RPC's usual time on a warm instance.
-func (p *RPC) work() float64 { return p.fn.work * p.size }
+// runTime is the RPC's usual time on a warm copy.
+func (p *RPC) runTime() float64 { return p.fn.runTime * p.relativeCost }
 
-// timeToLoad: the client waits for long enough for a load and the RPC's own work.
-func (p *RPC) timeToLoad() bool { return float64(p.end-p.r.now) >= p.fn.load+p.work() }
+// hasTimeToLoad reports whether the client waits long enough for a load and the RPC's own run time.
+func (p *RPC) hasTimeToLoad() bool {
+	return float64(p.timeoutAt-p.router.now) >= p.fn.loadTime+p.runTime()
+}
 
-// worth is what an answer would earn now: past the soft deadline little, beyond the customer's share little.
-func (p *RPC) worth() float64 {
-	if p.r.now+Time(p.work()) > p.late {
-		return p.gain * p.m.lateShare
+// currentGain is the gain of an answer if the RPC is sent now: less past the soft deadline. Submit reduces the gain of
+// RPCs beyond their customer's share.
+func (p *RPC) currentGain() float64 {
+	if p.router.now+Time(p.runTime()) > p.softDeadline {
+		return p.gain * p.method.lateShare
 	}
 	return p.gain
 }
 
-// Dispatch sends what the moment's events made room for: higher gain first, then first come.
+// Dispatch sends the RPCs that the events of this turn made room for: higher gain first, then in order of arrival. It
+// does the housekeeping first if that is due.
 func (r *Router) Dispatch(now Time) {
 	if r.now = now; !r.dirty {
 		return
 	}
-	r.noticePause()
-	if r.dirty = false; r.beats {
-		r.beats = false
+	r.detectPause()
+	if r.dirty = false; r.housekeepingDue {
+		r.housekeepingDue = false
 		r.housekeeping()
 	}
-	r.turn = now
-	queue := slices.Clone(r.held)
+	r.lastDispatch = now
+	queue := slices.Clone(r.queue)
 	slices.SortStableFunc(queue, func(a, b *RPC) int {
-		return cmp.Or(cmp.Compare(b.worth(), a.worth()), cmp.Compare(a.at, b.at))
+		return cmp.Or(cmp.Compare(b.currentGain(), a.currentGain()), cmp.Compare(a.submittedAt, b.submittedAt))
 	})
-	stuck := map[*function]bool{}
-	spare := map[bool]int{false: r.spare(false), true: r.spare(true)} // for RPCs that are late, and for others
+	blocked := map[*function]bool{}
+	allowance := map[bool]int{false: r.sendAllowance(false), true: r.sendAllowance(true)} // by whether the RPC is late
 	for _, p := range queue {
-		late := p.worth() < p.gain
-		if !p.queued || stuck[p.fn] && !p.keep(FunctionOrder) || spare[late] <= 0 && !p.keep(FleetShare) {
+		late := p.currentGain() < p.gain
+		if !p.queued || blocked[p.fn] && !p.block(FunctionOrder) || allowance[late] <= 0 && !p.block(FleetShare) {
 			continue
 		}
 		if p.place() {
-			spare[false], spare[true] = r.spare(false), r.spare(true)
+			allowance[false], allowance[true] = r.sendAllowance(false), r.sendAllowance(true)
 		} else {
-			stuck[p.fn] = len(p.calls) == 0 && p.timeToLoad() // else others may go where it may not
+			// An RPC that was sent before, or has no time for a load, may be barred from workers that the next RPC may
+			// use.
+			blocked[p.fn] = len(p.callOuts) == 0 && p.hasTimeToLoad()
 		}
 	}
 }
--- a/router/retries.go
+++ b/router/retries.go
@@ -2,83 +2,86 @@
 
 import "slices"
 
-// This file decides when an RPC may have a further call-out.
+// This file decides whether an RPC may have a further call-out.
 
-// spent: the RPC has had all the call-outs that the settings allow.
-func (p *RPC) spent() bool { return len(p.calls) >= int(p.r.set.num("may.call-outs", 1)) }
+// attemptsExhausted reports whether the RPC has had all call-outs that the settings allow.
+func (p *RPC) attemptsExhausted() bool {
+	return len(p.callOuts) >= int(p.router.settings.number("may.call-outs", 1))
+}
 
-// mayRepeatAt keeps rule two for a further call-out.
-func (p *RPC) mayRepeatAt(w *worker) bool {
-	if p.out > 0 || p.risk == nil || p.m.effect == Idempotent {
-		return p.out == 0
+// mayRetryAt keeps rule two: it reports whether a further call-out may go to the worker.
+func (p *RPC) mayRetryAt(w *worker) bool {
+	if p.inFlight > 0 || p.riskWorker == nil || p.method.effect == Idempotent {
+		return p.inFlight == 0
 	}
-	group := p.m.group == "all" || p.m.group == "zone" && w.zone == p.risk.zone ||
-		p.m.group == "cell" && w.cell == p.risk.cell
-	return p.m.effect == Tokened && group && p.r.now+2*beat <= p.riskAt+p.m.window
+	group := p.method.group == "all" || p.method.group == "zone" && w.zone == p.riskWorker.zone ||
+		p.method.group == "cell" && w.cell == p.riskWorker.cell
+	return p.method.effect == Tokened && group && p.router.now+2*housekeepingInterval <= p.riskSince+p.method.window
 }
 
-// send starts a call-out.
+// send starts a call-out at the worker.
 func (p *RPC) send(w *worker) {
-	r := p.r
-	p.unhold()
-	in := w.holds[p.fn.id]
-	in.lastUse, w.trial = r.now, false
-	in.active++
-	w.active++
-	p.fn.out++
-	p.calls, p.reason = append(p.calls, callOut{w: w, in: in, at: r.now, cold: in.loading}), NoTime
-	if p.out++; p.out == 1 {
-		r.out = append(r.out, p)
+	r := p.router
+	p.dequeue()
+	cs := w.copies[p.fn.id]
+	cs.lastUse, w.trialAllowed = r.now, false
+	cs.inFlight++
+	w.inFlight++
+	p.fn.inFlight++
+	p.callOuts, p.blockReason = append(p.callOuts, callOut{worker: w, copies: cs, sentAt: r.now, awaitsLoad: cs.loading}), NoTime
+	if p.inFlight++; p.inFlight == 1 {
+		r.inFlight = append(r.inFlight, p)
 	}
-	if p.risk == nil {
-		p.risk, p.riskAt = w, r.now
+	if p.riskWorker == nil {
+		p.riskWorker, p.riskSince = w, r.now
 	}
-	if r.cold(w) {
-		w.sent = append(w.sent, callOut{at: r.now, cost: p.m.mean()})
+	if r.isCold(w) {
+		w.coldSent = append(w.coldSent, callOut{sentAt: r.now, cost: p.method.meanCost()})
 	}
-	r.port.Send(p.id, w.id, 0, r.sendBy(w))
+	r.actions.Send(p.id, w.id, 0, r.sendDeadline(w))
 }
 
-// ClientLeft tells that the client is gone: no answer is owed.
+// ClientLeft handles that the client left: no answer is owed.
 func (p *RPC) ClientLeft(now Time) {
-	p.r.now, p.r.dirty = now, true
-	p.unhold()
+	p.router.now, p.router.dirty = now, true
+	p.dequeue()
 	p.ended = true
 }
 
-// Finished tells that nothing more can happen to the RPC.
-func (p *RPC) Finished() bool { return p.ended && p.out == 0 }
+// Finished reports whether no further event of the RPC can occur.
+func (p *RPC) Finished() bool { return p.ended && p.inFlight == 0 }
 
-// CallOutEnded tells how a call-out ended. Closed: no answer is owed; crowd: RPCs of its function that it met there.
-func (p *RPC) CallOutEnded(now Time, n int, _ WorkerID, o Outcome, closed bool, warmth Warmth, crowd int, took Time,
+// CallOutEnded handles the end of the n-th call-out. Closed: no further answer is owed; concurrent: RPCs of the
+// function that the call-out met at the worker.
+func (p *RPC) CallOutEnded(now Time, n int, _ WorkerID, o Outcome, closed bool, warmth Warmth, concurrent int, took Time,
 	report []float64) {
-	r := p.r
+	r := p.router
 	r.now, r.dirty = now, true
-	if n >= len(p.calls) || p.calls[n].done {
+	if n >= len(p.callOuts) || p.callOuts[n].ended {
 		return
 	}
-	c := &p.calls[n]
-	c.done = true
-	c.w.active--
-	c.in.active--
-	p.fn.out--
-	if p.out--; p.out == 0 {
-		r.out = slices.DeleteFunc(r.out, func(q *RPC) bool { return q == p })
+	c := &p.callOuts[n]
+	c.ended = true
+	c.worker.inFlight--
+	c.copies.inFlight--
+	p.fn.inFlight--
+	if p.inFlight--; p.inFlight == 0 {
+		r.inFlight = slices.DeleteFunc(r.inFlight, func(q *RPC) bool { return q == p })
 	}
-	c.w.report(r, report)
-	p.judge(c, o, warmth, crowd, took)
+	c.worker.applyReport(r, report)
+	p.learnFromCallOut(c, o, warmth, concurrent, took)
 	if o == OK || o == Errored || o == TimedOut || o == Reset || o == Cancelled {
-		p.mayHave = true
-	} else if !p.mayHave && p.out == 0 {
-		p.risk = nil
+		p.mayHaveRun = true
+	} else if !p.mayHaveRun && p.inFlight == 0 {
+		p.riskWorker = nil
 	}
-	if p.ended = p.ended || closed; p.ended || p.out > 0 {
+	if p.ended = p.ended || closed; p.ended || p.inFlight > 0 {
 		return
 	}
-	if p.mayHave && p.m.effect == SideEffecting || o == TimedOut && !c.retracted || r.now >= p.leaveAt() ||
-		p.spent() {
+	if p.mayHaveRun && p.method.effect == SideEffecting || o == TimedOut && !c.cancelled || r.now >= p.giveUpAt() ||
+		p.attemptsExhausted() {
 		p.giveUp()
 		return
 	}
-	p.hold()
+	p.enqueue()
 }
--- a/router/router.go
+++ b/router/router.go
@@ -1,11 +1,20 @@
-// Package router is the decision module of mallowlanding. Tuned values are in this file, decisions here and
-// in the files that each name what they decide.
+// Package router decides, for one front end, which worker runs each RPC and when functions are loaded. Constants are in
+// this file; the other files each state what they decide.
 //
-// New makes one Router for each front end. Take hands it an RPC and returns the RPC's handle; what happens to
-// that RPC later is a method call on the handle (Ended, Left). The list of workers comes as ListBegins,
-// Listed..., ListEnds; orders and checks are answered by Held and Checked, timers by Reminded. After the
-// events of one moment the caller calls Settle once. The module acts through Port. The same events lead to
-// the same actions. The ordinary path is RPC.place: a warm instance with room, else a load, else the queue.
+// New creates the router of a front end. Submit adds an RPC and returns its handle, which receives the later events of
+// that RPC (CallOutEnded, ClientLeft). The worker list arrives as BeginWorkerList, AddListedWorker for each entry, and
+// EndWorkerList. LoadOrderEnded and CheckEnded bring the results of load orders and checks, TimerFired an expired
+// timer. After the events of one turn of the event loop (those of one moment, handled together) the caller calls
+// Dispatch once. The router acts through Actions alone. The same events lead to the same actions. The ordinary path is
+// RPC.place: a warm copy with a free lane, else a load, else the queue.
+//
+// Comments and tests refer to five rules by number:
+//
+//  1. Each RPC is answered before its client's time is up.
+//  2. An RPC that may have run is sent again only where its method's effect, group and window allow it.
+//  3. Nothing is sent to a worker whose drain was reported longer ago than the grace.
+//  4. A cold worker is sent no more work within a window than its cold budget.
+//  5. Load orders within a window stay within the ration.
 package router
 
 import (
@@ -18,145 +27,184 @@
 	ms  Time = 10
 	sec Time = 1000 * ms
 
-	pause       = 5 * beat // we stood still if no turn came for so long
-	beat        = 20 * ms  // pace of housekeeping; the leave margins below are several beats
-	fnCap       = 5        // the design's cap of instances for a function, raised to recent in flight
-	totalCap    = 100      // the design's cap of all instances, where no memory is told
-	queueCap    = 100      // RPCs held for one function
-	loadErrors  = 3        // load errors in a row that halt a function (design)
-	loadBackMin = sec      // first backoff of loads, doubling (design: 1 s)
-	loadBackMax = 10 * sec // last one (design: 10 s)
-	priorLoad   = sec      // a load's time before any was seen or told, a soft deadline at the most
-	priorWork   = sec / 10 // an RPC's time on a warm instance before any was seen
-	illBackMin  = sec      // first pause of a worker found ill, doubling
-	illBackMax  = 8 * sec  // last one
-	errorsIll   = 0.5      // smoothed share of errors above which a worker is ill
-	slowIll     = 3.5      // smoothed slowness against peers above which a worker is ill
-	silentWorks = 6        // an answer later than so many usual times counts towards silence
-	zoneSpare   = 3        // a zone's memory over that of all functions in use, for loads to stay in the zone
-	servedFade  = 5 * sec  // time over which the work of warm workers is averaged
-	askedFade   = 20 * sec // time over which the work asked for is averaged, for a function's share of it
-	shareBefore = 0.01     // share of the work of a function seen for the first time: such are often popular
-	shareWeight = 100      // RPCs that this guess weighs as much as: fewer tell little of a share so small
-	realOver    = 16       // loads over which the part that found no copy is averaged; the first ones evenly
-	reportLasts = sec      // for so long a report tells that a worker is busy: where nothing is sent, none comes
-	hintTrust   = 0.5      // part of a hint's deviation from its function's mean that is believed
-	repeatWorks = 3        // a client's repeat is worth sending with so many usual times left
-	coldStretch = 1.5      // what warm workers could do over what they are seen to do, at the least
-	coldFew     = 3        // front ends that may send a cold worker one RPC a window, whatever they know
-	crowdFade   = sec      // in this time the news of others' RPCs at an instance falls to a third
-	homeShare   = 3        // of a mean worker's work one function's has at most one in so many, by its homes
-	loadLost    = 2        // usual times of a load after which its copy is waited for no longer
-	farBehind   = 3        // RPCs behind which a warm instance is left for a further copy
-	workerBusy  = 6        // RPCs of all front ends that a worker is given at once; of ours two at the least
-	idleUtil    = 0.8      // a worker that reports less is given more than that, answer by answer
-	busyUtil    = 0.95     // and less again where it reports more: its cores are taken
-	workerMost  = 4        // so many times workerBusy at the most
-	fleetBusy   = 8        // RPCs of all front ends for each worker, on the mean, while answers are late
-	factorMost  = 5        // so many times that while they are in time: some front ends carry more
-	factorUp    = 0.02     // up with each warm answer in time; down by factorDown of it with each late one
-	factorDown  = 0.07     // both: one late in five holds it at one, one in twenty at the most
-	lateFactor  = 0.5      // of our even share, for an RPC that is late: it must not make others late
-	slowFade    = 4 * sec  // in this time a worker's slowness falls to a third, where answers are rare
-	needFade    = 3 * sec  // in this time a function's peak of RPCs falls to a third
-	askHomes    = 2        // homes asked at once
-	askLasts    = sec      // for so long we don't ask again
-	askWait     = 3 * beat // for so long an answer is waited for
-	forgetAfter = 6e6      // ten minutes: a record goes with nothing heard of it for so long, far beyond its use
-	pinnedFull  = 0.9      // share of memory that can't be freed above which a worker has no room for a load
-	listenAgain = 1        // token of the timer that asks for the list again
-
-	spread = 0x9e3779b97f4a7c15 // an odd number that spreads ids over all bits
+	// A longer time between two dispatches means that the process was paused.
+	maxDispatchGap = 5 * housekeepingInterval
+	// Also the unit of the safety margins before deadlines.
+	housekeepingInterval = 20 * ms
+
+	functionCopyCap  = 5   // copies of one function (design); raised to its recent peak of RPCs
+	defaultMaxCopies = 100 // copies of all functions (design), where no memory sizes are known
+	functionQueueCap = 100 // queued RPCs of one function
+
+	haltAfterErrors = 3        // consecutive load errors that halt loads of a function (design)
+	minLoadBackoff  = sec      // first backoff of loads, then doubled (design: 1 s)
+	maxLoadBackoff  = 10 * sec // longest backoff of loads (design: 10 s)
+
+	defaultLoadTime = sec      // time of a load before one is stated or observed; a soft deadline at the most
+	defaultRunTime  = sec / 10 // time of an RPC on a warm copy before one is observed
+
+	minUnhealthyPause  = sec     // first pause of an unhealthy worker, then doubled
+	maxUnhealthyPause  = 8 * sec // longest pause of an unhealthy worker
+	unhealthyErrorRate = 0.5     // smoothed error rate above which a worker is unhealthy
+	unhealthySlowness  = 3.5     // smoothed slowness against peers above which a worker is unhealthy
+	silenceFactor      = 6       // usual run times after which a missing answer counts as silence
+
+	// Loads stay in a zone if its memory is at least this multiple of that of all functions in use.
+	zoneMemoryFactor = 3
+
+	workerWorkDecay   = 5 * sec  // averaging period of the work of warm workers
+	functionWorkDecay = 20 * sec // averaging period of submitted work, for a function's share of it
+
+	// Assumed share of the work for a function that is seen for the first time, since such functions are often popular.
+	priorShare = 0.01
+	// Number of RPCs that priorShare weighs as much as: fewer RPCs say little about so small a share.
+	priorShareWeight = 100
+
+	// Number of loads over which storeLoadShare is averaged; the first ones weigh the same.
+	storeShareLoads = 16
+	// How long a report marks a worker as busy. A worker that is sent nothing sends no newer report.
+	reportValidity = sec
+	// Part of a hint's deviation from its function's mean that counts.
+	hintWeight = 0.5
+	// A client's repeat is sent only while this many usual run times are left.
+	repeatTimeFactor = 3
+
+	coldHeadroom   = 1.5 // warm workers can do at least this multiple of their observed work
+	minColdSenders = 3   // front ends that may send a cold worker one RPC per window, whatever they know
+
+	othersDecay = sec // time in which the estimate of other front ends' RPCs at a copy falls to 1/e
+	// A function has so many homes that its work takes at most 1/homeFactor of a mean worker's work at each.
+	homeFactor         = 3
+	orderOverdueFactor = 2 // usual load times after which a load order's copy is not waited for any longer
+	extraCopyQueue     = 3 // RPCs ahead of a new one at a warm copy from which on a further copy is ordered
+
+	// RPCs in flight at a worker, of all front ends together; each front end may send at least 2.
+	workerInFlightCap = 6
+	idleUtil          = 0.8  // a worker that reports less is given more than that, by a step with each answer
+	busyUtil          = 0.95 // a worker that reports more is given less again, since its cores are taken
+	idleShareFactor   = 4    // limit of that increase, as a multiple of workerInFlightCap
+
+	// RPCs in flight per worker on average, of all front ends together, while answers are late.
+	fleetInFlightCap = 8
+	// Largest multiple of fleetInFlightCap, while answers are in time: some front ends carry more load than others.
+	maxFleetFactor = 5
+	// Increase of the factor with each warm answer in time.
+	fleetFactorStep = 0.02
+	// Part of the factor that is taken away with each late warm answer. With fleetFactorStep, one late answer in five
+	// keeps the factor at 1, one in twenty keeps it at the maximum.
+	fleetFactorDrop = 0.07
+	// Multiple of the front end's even share for an RPC that is late itself: it must not make others late.
+	lateFleetFactor = 0.5
+
+	slownessDecay = 4 * sec // time in which a worker's slowness falls to 1/e where answers are rare
+	peakDecay     = 3 * sec // time in which a function's peak of RPCs falls to 1/e
+
+	maxAskedHomes = 2                        // home workers that are asked for copies at once
+	askInterval   = sec                      // time between two questions for copies of a function
+	askTimeout    = 3 * housekeepingInterval // how long the answer to a question or a check is waited for
+
+	// 10 minutes: a record that has been unused for so long affects no decision any more.
+	unusedRetention = 6e6
+	// Share of memory that cannot be freed above which a worker has no room for a load.
+	fullPinnedShare  = 0.9
+	resubscribeToken = 1 // token of the timer that requests the worker list again
+
+	hashMultiplier = 0x9e3779b97f4a7c15 // odd, to spread ids over all bits
 )
 
-// Router is the decision module of one front end.
+// Router decides for one front end; see the package comment.
 type Router struct {
-	port                 Actions
-	rng                  *rand.Rand
-	now, born, turn      Time // turn: when we last settled
-	set                  Settings
-	zone                 ZoneID
-	methods              []*method
-	customers            []*customer
-	workers              map[WorkerID]*worker
-	list                 []*worker // by id
-	fns                  map[FunctionID]*function
-	seen                 float64 // memory of one copy of each function
-	held, out            []*RPC  // in order of arrival; with a call-out out
-	orders, taken        []Time  // load orders and RPCs taken within the ration's window
-	pending, total       int     // loads under way; they and all instances
-	loadLimit, totalCap  float64 // the caps of both: learned from the store; what the workers' memory holds
-	loadShare, tokens    float64 // our share of two loads a worker; loads that may begin now
-	tokensAt             Time
-	warmWork             map[KindID]float64 // what a warm worker of the kind does for us
-	slow                 float64            // workers' median slowness, 1 or more
-	realShare, loadsSeen float64            // part of loads that found no copy; loads whose end we saw
-	asked, load          float64            // work of RPCs taken lately; mean time of loads
-	fleetFactor          float64            // how many times our even share of the fleet we may use
-	ownZoneFirst, allIll bool               // loads stay in the zone; health is ignored
-	dirty, beats         bool               // settling is due, with housekeeping
-	listAsOf, listUntil  Time               // when the list was last known to be whole and true; it alone is evidence until
-	listLasts            Time               // how old it may be; 0: discovery tells each change as it comes
-	wokeAt, sleptAt      Time               // the end and the begin of the last time that we stood still
-	drainGrace           Time               // how long after a drain was told something may still be sent
-	wasLapsed            bool               // the list was too old when last looked at
+	actions                      Actions
+	rng                          *rand.Rand
+	now, createdAt, lastDispatch Time
+	settings                     Settings
+	zone                         ZoneID
+	methods                      []*method
+	customers                    []*customer
+	workers                      map[WorkerID]*worker
+	sortedWorkers                []*worker // by id
+	functions                    map[FunctionID]*function
+	functionMemory               float64            // MB of one copy of each known function
+	queue, inFlight              []*RPC             // in order of arrival; those with an open call-out
+	recentOrders, recentSubmits  []Time             // of load orders and new RPCs, in the ration's window
+	pendingLoads, totalCopies    int                // loads in progress; copies, these loads included
+	maxLoads, maxCopies          float64            // their caps: learned from load times; from the workers' memory
+	loadShare, loadTokens        float64            // own share of two loads per worker; loads that may start now
+	loadTokensAt                 Time               // last refill of loadTokens
+	warmWork                     map[KindID]float64 // recent work of a warm worker for this front end
+	medianSlowness               float64            // of the workers, at least 1
+	storeLoadShare, loadsEnded   float64            // share of loads that found no copy and used the store; loads ended
+	recentWork, meanLoadTime     float64            // decaying sum over new RPCs; of all functions
+	fleetFactor                  float64            // this front end may use this multiple of its even share
+	ownZoneFirst, ignoreHealth   bool               // loads stay in the zone; most workers look unhealthy
+	dirty, housekeepingDue       bool               // events since the last Dispatch; one of them was the timer
+	listAsOf, listValidUntil     Time               // when it was last known correct; until when it is evidence
+	listMaxAge                   Time               // 0: discovery reports each change at once
+	pauseEnd, pauseStart         Time               // of the last pause of the process
+	drainGrace                   Time               // a draining worker may be sent something for this time
+	listWasExpired               bool               // when last logged
 }
 
-// New starts the module of one front end.
-func New(port Actions, now Time, seed int64, s Settings) *Router {
-	r := &Router{port: port, now: now, rng: rand.New(rand.NewSource(seed)), workers: map[WorkerID]*worker{},
-		fns: map[FunctionID]*function{}, warmWork: map[KindID]float64{}, born: now,
-		turn: now, slow: 1, realShare: 0.5, fleetFactor: factorMost / 2., listAsOf: never, wokeAt: never}
-	r.takeSettings(ParseSettings(s))
-	if port.SetTimer(beat, 0); s.word("list") == "asked" {
-		port.SubscribeWorkers()
+// New creates the router of one front end.
+func New(actions Actions, now Time, seed int64, s Settings) *Router {
+	r := &Router{actions: actions, now: now, rng: rand.New(rand.NewSource(seed)), workers: map[WorkerID]*worker{},
+		functions: map[FunctionID]*function{}, warmWork: map[KindID]float64{}, createdAt: now,
+		lastDispatch: now, medianSlowness: 1, storeLoadShare: 0.5, fleetFactor: maxFleetFactor / 2., listAsOf: never, pauseEnd: never}
+	r.adoptSettings(ParseSettings(s))
+	if actions.SetTimer(housekeepingInterval, 0); s.text("list") == "asked" {
+		actions.SubscribeWorkers()
 	}
 	return r
 }
 
-// Submit takes an RPC and returns its handle. Cost is the hint's core time, 0 where there is none.
-func (r *Router) Submit(now Time, id RPCID, m MethodID, c CustomerID, fid FunctionID, budget Time, cost,
+// Submit queues a new RPC and returns its handle. Budget is the time that its client still waits. Cost is the core time
+// of its hint and load the stated load time, both 0 where unknown; memory is the size of a copy in MB.
+func (r *Router) Submit(now Time, id RPCID, m MethodID, customerID CustomerID, functionID FunctionID, budget Time, cost,
 	memory float64, lanes int, load Time, repeat bool) *RPC {
 	r.now, r.dirty = now, true
-	fn := r.fns[fid]
+	fn := r.functions[functionID]
 	if fn == nil {
-		fn = &function{id: fid, load: cmp.Or(float64(load), r.load, float64(min(priorLoad, r.methods[m].soft))),
-			work: r.methods[m].work, size: memory, backoff: loadBackMin}
-		r.fns[fid] = fn
-		r.seen += memory
+		fn = &function{id: functionID, loadTime: cmp.Or(float64(load), r.meanLoadTime, float64(min(defaultLoadTime, r.methods[m].softDeadline))),
+			runTime: r.methods[m].runTime, memory: memory, loadBackoff: minLoadBackoff}
+		r.functions[functionID] = fn
+		r.functionMemory += memory
 	}
 	fn.lanes = max(lanes, 1)
-	p := &RPC{r: r, id: id, m: r.methods[m], fn: fn, at: now, late: now, end: now + budget, size: 1}
-	p.gain, p.repeat = p.m.gain, repeat
-	if repeat && p.m.deadline > 0 { // the deadline runs from the first try: the budget tells what is left of it
-		p.late += p.m.soft - max(0, p.m.deadline-budget)
+	p := &RPC{router: r, id: id, method: r.methods[m], fn: fn, submittedAt: now, softDeadline: now, timeoutAt: now + budget, relativeCost: 1}
+	p.gain, p.repeat = p.method.gain, repeat
+	// The deadline runs from the first try, so the budget of a repeat shows how much of it is left.
+	if repeat && p.method.deadline > 0 {
+		p.softDeadline += p.method.softDeadline - max(0, p.method.deadline-budget)
 	} else if !repeat {
-		p.late, p.m.most = p.late+p.m.soft, max(p.m.most, budget) // a marked one's budget may be longer
+		// The longest budget is learned from first tries alone: that of a marked repeat may be longer.
+		p.softDeadline, p.method.maxBudget = p.softDeadline+p.method.softDeadline, max(p.method.maxBudget, budget)
 		if r.wasPaused() {
-			p.late -= p.m.most - budget
-		} else if !r.set.is("clients.mark-repeats") && budget > p.m.soft && budget < p.m.most-beat {
-			// cut by the deadline: an unmarked repeat. Where clients mark theirs, budgets tell nothing of that
-			p.late -= max(0, p.m.deadline-budget)
+			p.softDeadline -= p.method.maxBudget - budget
+		} else if !r.settings.enabled("clients.mark-repeats") && budget > p.method.softDeadline && budget < p.method.maxBudget-housekeepingInterval {
+			// The client cut the budget to the rest of its deadline, so this is an unmarked repeat. Where clients mark
+			// repeats, a short budget is no sign of one.
+			p.softDeadline -= max(0, p.method.deadline-budget)
 		}
 	}
 	if cost > 0 {
-		p.m.cost += (cost - p.m.cost) / 20
-		fn.cost = cmp.Or(fn.cost, cost)
-		fn.cost += (cost - fn.cost) / 20
-		p.size = hintTrust*cost/fn.cost + 1 - hintTrust
+		p.method.coreTime += (cost - p.method.coreTime) / 20
+		fn.coreTime = cmp.Or(fn.coreTime, cost)
+		fn.coreTime += (cost - fn.coreTime) / 20
+		p.relativeCost = hintWeight*cost/fn.coreTime + 1 - hintWeight
 	}
-	if int(c) < len(r.customers) && !r.customers[c].within(now) {
-		p.gain *= r.set.num("over-share-gain", 1)
+	if int(customerID) < len(r.customers) && !r.customers[customerID].takeToken(now) {
+		p.gain *= r.settings.number("over-share-gain", 1)
 	}
-	r.taken = append(r.taken, now)
-	fn.asked, r.asked = fn.asked+p.m.mean(), r.asked+p.m.mean()
-	p.hold()
-	fn.need, fn.needAt = max(fn.recent(now), float64(fn.out+fn.held)), now
+	r.recentSubmits = append(r.recentSubmits, now)
+	fn.recentWork, r.recentWork = fn.recentWork+p.method.meanCost(), r.recentWork+p.method.meanCost()
+	p.enqueue()
+	fn.peak, fn.lastSubmit = max(fn.recentPeak(now), float64(fn.inFlight+fn.queued)), now
 	return p
 }
 
-func (c *customer) within(now Time) bool {
-	c.tokens, c.at = min(c.tokens+c.quota*float64(now-c.at), 2*c.quota*float64(sec)), now
+// takeToken takes one RPC from the customer's token bucket. It returns false if the customer is beyond its share.
+func (c *customer) takeToken(now Time) bool {
+	c.tokens, c.refilledAt = min(c.tokens+c.quota*float64(now-c.refilledAt), 2*c.quota*float64(sec)), now
 	if c.tokens < 1 {
 		return false
 	}
@@ -164,43 +212,48 @@
 	return true
 }
 
-func (fn *function) recent(now Time) float64 { return fn.need * fade(now-fn.needAt, needFade) }
+// recentPeak is the decayed peak of the function's RPCs, queued and in flight.
+func (fn *function) recentPeak(now Time) float64 {
+	return fn.peak * decay(now-fn.lastSubmit, peakDecay)
+}
 
-// TimerFired is the heartbeat; its work is done when all that came with it is known.
+// TimerFired handles an expired timer: it requests the worker list again or marks housekeeping as due. Dispatch does
+// the housekeeping, once all events of the turn are known.
 func (r *Router) TimerFired(now Time, token uint64) {
 	r.now, r.dirty = now, true
-	if token == listenAgain {
-		r.port.SubscribeWorkers()
+	if token == resubscribeToken {
+		r.actions.SubscribeWorkers()
 		return
 	}
-	r.port.SetTimer(beat, 0)
-	r.beats = true
+	r.actions.SetTimer(housekeepingInterval, 0)
+	r.housekeepingDue = true
 }
 
-// housekeeping fades what is old, looks after the workers and gives up what waited for too long.
+// housekeeping decays averages, drops unused records, updates the health of workers, and gives up queued RPCs whose
+// time is over.
 func (r *Router) housekeeping() {
-	warm := map[KindID]float64{}
-	for _, w := range r.list {
-		if w.served -= w.served * float64(beat) / float64(servedFade); w.state == Ready && !r.cold(w) {
-			if warm[w.kind]++; warm[w.kind] == 1 {
+	warmWorkers := map[KindID]float64{}
+	for _, w := range r.sortedWorkers {
+		if w.recentWork -= w.recentWork * float64(housekeepingInterval) / float64(workerWorkDecay); w.state == Ready && !r.isCold(w) {
+			if warmWorkers[w.kind]++; warmWorkers[w.kind] == 1 {
 				r.warmWork[w.kind] = 0
 			}
-			r.warmWork[w.kind] += (w.served - r.warmWork[w.kind]) / warm[w.kind]
+			r.warmWork[w.kind] += (w.recentWork - r.warmWork[w.kind]) / warmWorkers[w.kind]
 		}
 	}
-	for _, fn := range r.fns {
-		fn.asked -= fn.asked * float64(beat) / float64(askedFade)
+	for _, fn := range r.functions {
+		fn.recentWork -= fn.recentWork * float64(housekeepingInterval) / float64(functionWorkDecay)
 	}
-	r.asked -= r.asked * float64(beat) / float64(askedFade)
-	r.forget()
-	r.orderRationAllows() // drops what lies before its window
-	r.count()
-	r.watchList()
-	r.watchSilence()
+	r.recentWork -= r.recentWork * float64(housekeepingInterval) / float64(functionWorkDecay)
+	r.dropUnused()
+	r.orderRationAllows() // drops entries from before the window
+	r.countCopies()
+	r.logListExpiry()
+	r.detectSilentWorkers()
 	r.updateZonePreference()
 	r.recoverUnhealthy()
-	for _, p := range slices.Clone(r.held) {
-		if r.now >= p.leaveAt() {
+	for _, p := range slices.Clone(r.queue) {
+		if r.now >= p.giveUpAt() {
 			p.giveUp()
 		}
 	}
--- a/router/settings.go
+++ b/router/settings.go
@@ -2,45 +2,50 @@
 
 import "strconv"
 
-func (s Settings) num(name string, or float64) float64 {
+// number returns a numeric setting, or fallback if there is none.
+func (s Settings) number(name string, fallback float64) float64 {
 	if v, ok := s[name].(float64); ok {
 		return v
 	}
-	return or
+	return fallback
 }
 
-func (s Settings) span(name string, or Time) Time { return Time(s.num(name, float64(or))) }
+func (s Settings) duration(name string, fallback Time) Time {
+	return Time(s.number(name, float64(fallback)))
+}
 
-func (s Settings) is(name string) bool { v, _ := s[name].(bool); return v }
+func (s Settings) enabled(name string) bool { v, _ := s[name].(bool); return v }
 
-func (s Settings) word(name string) string { v, _ := s[name].(string); return v }
+func (s Settings) text(name string) string { v, _ := s[name].(string); return v }
 
-func (r *Router) memory(w *worker) float64 {
-	return r.set.num("functions.memory."+strconv.Itoa(int(w.kind)), 0)
+// workerMemory is the memory in MB that the settings state for workers of this kind.
+func (r *Router) workerMemory(w *worker) float64 {
+	return r.settings.number("functions.memory."+strconv.Itoa(int(w.kind)), 0)
 }
 
-func (r *Router) frontEnds() float64 { return max(1, r.set.num("front-ends", 1)) }
+// frontEnds is the number of front ends that share the workers, this one included.
+func (r *Router) frontEnds() float64 { return max(1, r.settings.number("front-ends", 1)) }
 
-// ParsedSettings is settings as the module reads them; that needs no turn.
+// ParsedSettings holds settings in the form that the router uses. They can be parsed outside the event loop.
 type ParsedSettings struct {
-	set     Settings
-	methods []*method
-	quotas  []float64 // of customers: this front end's parts, per unit of time
+	settings Settings
+	methods  []*method
+	quotas   []float64 // by customer: this front end's part, in RPCs per unit of Time
 }
 
-// ParseSettings reads settings for New or Renew.
-func ParseSettings(s Settings) (p ParsedSettings) {
-	p.set = s
-	for i := range int(s.num("methods", 0)) {
-		at := "methods." + strconv.Itoa(i) + "."
-		p.methods = append(p.methods, &method{gain: s.num(at+"gain", 1), lateShare: s.num(at+"late-share", 0),
-			soft: s.span(at+"soft-deadline", sec), deadline: s.span(at+"deadline", 0),
-			effect: s.word(at + "effect"), group: s.word(at + "group"), window: s.span(at+"window", 0),
-			work: float64(priorWork)})
+// ParseSettings prepares settings for UpdateSettings.
+func ParseSettings(s Settings) (parsed ParsedSettings) {
+	parsed.settings = s
+	for i := range int(s.number("methods", 0)) {
+		prefix := "methods." + strconv.Itoa(i) + "."
+		parsed.methods = append(parsed.methods, &method{gain: s.number(prefix+"gain", 1), lateShare: s.number(prefix+"late-share", 0),
+			softDeadline: s.duration(prefix+"soft-deadline", sec), deadline: s.duration(prefix+"deadline", 0),
+			effect: s.text(prefix + "effect"), group: s.text(prefix + "group"), window: s.duration(prefix+"window", 0),
+			runTime: float64(defaultRunTime)})
 	}
-	for i := range int(s.num("customers", 0)) {
-		quota := s.num("customers."+strconv.Itoa(i)+".quota", 0)
-		p.quotas = append(p.quotas, quota/max(1, s.num("front-ends", 1))/float64(sec))
+	for i := range int(s.number("customers", 0)) {
+		quota := s.number("customers."+strconv.Itoa(i)+".quota", 0)
+		parsed.quotas = append(parsed.quotas, quota/max(1, s.number("front-ends", 1))/float64(sec))
 	}
-	return p
+	return parsed
 }
--- a/router/view.go
+++ b/router/view.go
@@ -2,31 +2,31 @@
 
 import "fmt"
 
-// Describe tells in one line what the module believes, for a debug log that is held against what the sockets carried: the
-// queue and the bounds, then each worker that is ready with RPCs out there, copies, those of them that load, C where it
-// is cold, U where nothing proves that it does not drain, and the symptom where it is ill. It decides nothing.
+// Describe summarizes the router's state in one line for the debug log, where it is compared with the traffic on the
+// sockets: the queue and the limits, then for each ready worker "id:RPCs in flight/functions with copies/those being
+// loaded", C if it is cold, U if nothing proves that it does not drain, and its symptom if it is unhealthy.
 func (r *Router) Describe() string {
-	s := fmt.Sprintf("held %d out %d fleet-factor %.2f load-limit %.1f tokens %.1f pending %d total %d of %.0f loads-real %.2f;",
-		len(r.held), len(r.out), r.fleetFactor, r.loadLimit, r.tokens, r.pending, r.total, r.totalCap, r.realShare)
-	for _, w := range r.list {
+	s := fmt.Sprintf("queued %d in-flight %d fleet-factor %.2f max-loads %.1f load-tokens %.1f loading %d copies %d of %.0f store-loads %.2f;",
+		len(r.queue), len(r.inFlight), r.fleetFactor, r.maxLoads, r.loadTokens, r.pendingLoads, r.totalCopies, r.maxCopies, r.storeLoadShare)
+	for _, w := range r.sortedWorkers {
 		if w.state != Ready {
 			continue
 		}
 		loading := 0
-		for _, in := range w.holds {
-			if in.loading {
+		for _, cs := range w.copies {
+			if cs.loading {
 				loading++
 			}
 		}
-		s += fmt.Sprintf(" %d:%d/%d/%d", w.id, w.active, len(w.holds), loading)
-		if r.cold(w) {
+		s += fmt.Sprintf(" %d:%d/%d/%d", w.id, w.inFlight, len(w.copies), loading)
+		if r.isCold(w) {
 			s += "C"
 		}
 		if !r.confirmed(w) {
 			s += "U"
 		}
-		if w.ill != "" {
-			s += "[" + w.ill + "]"
+		if w.symptom != "" {
+			s += "[" + w.symptom + "]"
 		}
 	}
 	return s
