--- a/internal/settingkeys/terms.go
+++ b/internal/settingkeys/terms.go
@@ -1,13 +1,14 @@
-// Package settingkeys names the settings that the module reads, once for all that hand settings to it: the adapter for
-// the bench translates its wire's words into these, the program its XML.
+// Package settingkeys names the settings that a front end reads. Two callers translate into these names: the adapter
+// from the words of the simulator, the program from its configuration.
 package settingkeys
 
 import "strconv"
 
-// Levels and names. A setting's full name is its levels joined by dots; see Path and At.
+// Levels and names of settings. A full name is the levels joined by dots; see Join and Item. Each constant is named
+// after its setting.
 const (
 	FrontEnds = "front-ends"
-	Me        = "me"
+	Me        = "me" // index of this front end
 	Zone      = "zone"
 	Tick      = "tick"
 	List      = "list"
@@ -15,12 +16,12 @@
 	OverShare = "over-share-gain"
 
 	May            = "may"
-	Retract        = "retract"
+	Retract        = "retract" // whether call-outs may be cancelled
 	ConnectTimeout = "connect-time-out"
 	Check          = "check"
 	CallOuts       = "call-outs"
-	ComeBack       = "come-back"
-	Advise         = "advise"
+	ComeBack       = "come-back" // longest time to retry after in a denial
+	Advise         = "advise"    // whether clients receive that time
 	Overlap        = "overlap"
 	Open           = "open"
 	IdleClose      = "idle-close"
@@ -49,7 +50,7 @@
 	OnMiss       = "on-miss"
 	Memory       = "memory"
 	TellsWarm    = "tells-warm"
-	TellsCrowd   = "tells-crowd"
+	TellsCrowd   = "tells-crowd" // answers report RPCs of other front ends at the copy
 	OrderTimeout = "order-time-out"
 
 	Methods      = "methods"
@@ -68,16 +69,16 @@
 
 	Rules        = "rules"
 	AskEvery     = "ask-every"
-	ColdFrom     = "cold-from"
-	Cold         = "cold"
-	Drain        = "drain"
-	ListLasts    = "list-lasts"
-	FallMultiple = "fall-multiple"
-	Fall         = "fall"
+	ColdFrom     = "cold-from"     // capacity of a worker at its start, as a share of that of a warm one
+	Cold         = "cold"          // for how long a worker is cold after its start
+	Drain        = "drain"         // grace: how long after the start of a drain a worker may be sent something
+	ListLasts    = "list-lasts"    // how old the worker list may be as evidence that workers do not drain
+	FallMultiple = "fall-multiple" // a cold worker is overloaded by this multiple of its capacity
+	Fall         = "fall"          // window over which the work of a cold worker is summed
 	AnswerGrace  = "answer-grace"
 )
 
-// Values that are words.
+// Values of settings.
 const (
 	Pushed  = "pushed"
 	Asked   = "asked"
@@ -91,14 +92,14 @@
 	Loads   = "loads"
 )
 
-// Join joins two levels.
+// Join returns the name of a setting below a level.
 func Join(level, name string) string { return level + "." + name }
 
-// Item is the name of a list's i-th place, or of a setting there.
+// Item returns the name of a setting of a list's i-th entry, or of the entry itself if name is empty.
 func Item(list string, i int, name string) string {
-	at := list + "." + strconv.Itoa(i)
+	key := list + "." + strconv.Itoa(i)
 	if name == "" {
-		return at
+		return key
 	}
-	return at + "." + name
+	return key + "." + name
 }
