--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -1,6 +1,6 @@
-// Package baseline has well-known ways to pick a worker, behind the module's own port, to compare the module with. They
-// keep rules one and two as the module does, since a comparison with what breaks them says nothing; they know of no loads,
-// cold workers or rations. Not for service.
+// Package baseline has well-known policies to pick a worker, behind the same interface as router.Router, which is
+// compared with them. They keep rules one and two of package router, since a comparison with a policy that breaks them
+// would mean nothing. They know of no loads, cold workers or rations, and are not for production use.
 package baseline
 
 import (
@@ -14,31 +14,32 @@
 	"mallowlanding/router"
 )
 
-// ActualState tells how a function stands on a worker: free lanes, a load under way, RPCs there; ok: the worker answers.
-type ActualState func(w router.WorkerID, fn router.FunctionID) (free int, loading bool, jobs int, ok bool)
+// ActualState returns the actual state of a function at a worker: its free lanes, whether a load is in progress, and
+// the RPCs there; ok is false if the worker does not answer.
+type ActualState func(w router.WorkerID, fn router.FunctionID) (free int, loading bool, rpcs int, ok bool)
 
-// Policies are the policies.
+// Policies are the names of the policies.
 var Policies = []string{"random", "round-robin", "least-out", "power-of-two", "join-idle", "bounded-hash", "oracle"}
 
-// bound is how far above the mean a worker may be loaded with bounded hashing: the load factor of the scheme's authors'
-// own examples (Mirrokni, Thorup, Zadimoghaddam, 2016).
-const bound = 1.25
+// loadFactor is the bound of bounded hashing: how far a worker's RPCs may exceed the mean. The value is that of the
+// examples of the scheme's authors (Mirrokni, Thorup, Zadimoghaddam, 2016).
+const loadFactor = 1.25
 
-// retry is the pause before an RPC that never ran goes out again.
-const retry = 20 * 10
+// retryPause is the pause before an RPC that never ran is sent again: 20 ms.
+const retryPause = 20 * 10
 
-// Factory makes the maker of a policy; an empty name gives nil, which stands for the module.
-func Factory(name string, truth ActualState) (routing.Factory, error) {
+// Factory returns the factory of a policy. It is nil for an empty name and for "module", which stand for router.Router.
+func Factory(name string, actual ActualState) (routing.Factory, error) {
 	if name == "" || name == "module" {
 		return nil, nil
 	}
 	if !slices.Contains(Policies, name) {
-		return nil, fmt.Errorf("no policy %q: there are module, %v", name, Policies)
+		return nil, fmt.Errorf("no policy %q; known are module, %v", name, Policies)
 	}
-	return func(port router.Actions, now router.Time, seed int64, s router.Settings) routing.Router {
-		p := &policy{name: name, truth: truth, port: port, rng: rand.New(rand.NewSource(seed)), workers: map[router.WorkerID]*worker{},
-			held: map[uint64]*rpc{}}
-		p.heed(s)
+	return func(actions router.Actions, now router.Time, seed int64, s router.Settings) routing.Router {
+		p := &policy{name: name, actual: actual, actions: actions, rng: rand.New(rand.NewSource(seed)), workers: map[router.WorkerID]*worker{},
+			waiting: map[uint64]*rpc{}}
+		p.readSettings(s)
 		return p
 	}, nil
 }
@@ -49,291 +50,298 @@
 }
 
 type worker struct {
-	id     router.WorkerID
-	zone   router.ZoneID
-	cell   router.CellID
-	ready  bool
-	listed bool
-	out    int
-	avoid  router.Time // a connection failed: not before
+	id         router.WorkerID
+	zone       router.ZoneID
+	cell       router.CellID
+	ready      bool
+	inList     bool
+	inFlight   int
+	avoidUntil router.Time // after a failed connection
 }
 
+// policy is one baseline at one front end; it implements routing.Router.
 type policy struct {
-	name    string
-	truth   ActualState
-	port    router.Actions
-	rng     *rand.Rand
-	methods []method
-	most    int
-	back    router.Time
-	workers map[router.WorkerID]*worker
-	list    []*worker // by id
-	next    int       // of round robin
-	idle    []*worker // that reported idle, oldest first
-	held    map[uint64]*rpc
-	token   uint64
-	now     router.Time
+	name          string
+	actual        ActualState
+	actions       router.Actions
+	rng           *rand.Rand
+	methods       []method
+	maxCallOuts   int
+	retryAfter    router.Time
+	workers       map[router.WorkerID]*worker
+	sortedWorkers []*worker // by id
+	nextIndex     int       // of round robin
+	idle          []*worker // that became idle, oldest first
+	waiting       map[uint64]*rpc
+	lastToken     uint64
+	now           router.Time
 }
 
+// rpc is one RPC; it implements routing.Handle.
 type rpc struct {
-	p       *policy
-	id      router.RPCID
-	m       method
-	fn      router.FunctionID
-	end     router.Time
-	calls   []*worker
-	out     int
-	over    bool
-	may     bool // one that is over may have run
-	riskAt  router.Time
-	risk    *worker
-	waiting bool
+	policy     *policy
+	id         router.RPCID
+	method     method
+	fn         router.FunctionID
+	timeoutAt  router.Time
+	callOuts   []*worker
+	inFlight   int
+	ended      bool
+	mayHaveRun bool // a call-out that ended may have run
+	riskSince  router.Time
+	riskWorker *worker
+	timerSet   bool
 }
 
-func (p *policy) heed(s router.Settings) {
+// readSettings reads the limits of call-outs and the effects of the methods.
+func (p *policy) readSettings(s router.Settings) {
 	number := func(name string) float64 { v, _ := s[name].(float64); return v }
-	word := func(name string) string { v, _ := s[name].(string); return v }
-	p.most, p.back = int(number(settingkeys.Join(settingkeys.May, settingkeys.CallOuts))), router.Time(number(settingkeys.Join(settingkeys.May, settingkeys.ComeBack)))
+	text := func(name string) string { v, _ := s[name].(string); return v }
+	p.maxCallOuts, p.retryAfter = int(number(settingkeys.Join(settingkeys.May, settingkeys.CallOuts))), router.Time(number(settingkeys.Join(settingkeys.May, settingkeys.ComeBack)))
 	p.methods = nil
 	for i := range int(number(settingkeys.Methods)) {
-		p.methods = append(p.methods, method{effect: word(settingkeys.Item(settingkeys.Methods, i, settingkeys.Effect)),
-			group: word(settingkeys.Item(settingkeys.Methods, i, settingkeys.Group)), window: router.Time(number(settingkeys.Item(settingkeys.Methods, i, settingkeys.Window)))})
+		p.methods = append(p.methods, method{effect: text(settingkeys.Item(settingkeys.Methods, i, settingkeys.Effect)),
+			group: text(settingkeys.Item(settingkeys.Methods, i, settingkeys.Group)), window: router.Time(number(settingkeys.Item(settingkeys.Methods, i, settingkeys.Window)))})
 	}
 }
 
-// BeginWorkerList implements core.Module.
-func (p *policy) BeginWorkerList(_ router.Time, form router.ListUpdate, _ uint64) {
-	for _, w := range p.list {
-		w.listed = form == router.ListChanges || form == router.ListFailed
+// BeginWorkerList implements routing.Router.
+func (p *policy) BeginWorkerList(_ router.Time, update router.ListUpdate, _ uint64) {
+	for _, w := range p.sortedWorkers {
+		w.inList = update == router.ListChanges || update == router.ListFailed
 	}
 }
 
-// AddListedWorker implements core.Module.
+// AddListedWorker implements routing.Router.
 func (p *policy) AddListedWorker(_ router.Time, id router.WorkerID, state router.Readiness, _ router.Time, zone router.ZoneID,
 	cell router.CellID, _ router.KindID, _ float64) {
 	w := p.workers[id]
 	if w == nil {
 		w = &worker{id: id}
-		p.workers[id], p.list = w, append(p.list, w)
-		slices.SortFunc(p.list, func(a, b *worker) int { return int(int64(a.id) - int64(b.id)) })
+		p.workers[id], p.sortedWorkers = w, append(p.sortedWorkers, w)
+		slices.SortFunc(p.sortedWorkers, func(a, b *worker) int { return int(int64(a.id) - int64(b.id)) })
 		p.idle = append(p.idle, w)
 	}
-	w.zone, w.cell, w.ready, w.listed = zone, cell, state == router.Ready, true
+	w.zone, w.cell, w.ready, w.inList = zone, cell, state == router.Ready, true
 }
 
-// EndWorkerList implements core.Module.
+// EndWorkerList implements routing.Router.
 func (p *policy) EndWorkerList(router.Time) {
-	for _, w := range p.list {
-		w.ready = w.ready && w.listed
+	for _, w := range p.sortedWorkers {
+		w.ready = w.ready && w.inList
 	}
 }
 
-// LoadOrderEnded, Checked, Renew, Halted and Settle implement core.Module: a baseline asks for nothing that they answer.
+// LoadOrderEnded, CheckEnded, UpdateSettings, LoadsHalted and Dispatch implement routing.Router. A baseline sends no
+// request that they answer.
 func (p *policy) LoadOrderEnded(router.Time, router.WorkerID, router.FunctionID, router.Outcome, int, router.Time) {
 }
 
-// CheckEnded implements core.Module.
+// CheckEnded implements routing.Router.
 func (p *policy) CheckEnded(router.Time, router.WorkerID, router.Outcome, router.Time, []float64) {}
 
-// UpdateSettings implements core.Module.
+// UpdateSettings implements routing.Router.
 func (p *policy) UpdateSettings(router.Time, router.ParsedSettings) {}
 
-// LoadsHalted implements core.Module.
+// LoadsHalted implements routing.Router.
 func (p *policy) LoadsHalted(router.FunctionID) bool { return false }
 
-// Dispatch implements core.Module.
+// Dispatch implements routing.Router.
 func (p *policy) Dispatch(router.Time) {}
 
-// Submit implements core.Module.
+// Submit implements routing.Router.
 func (p *policy) Submit(now router.Time, id router.RPCID, m router.MethodID, _ router.CustomerID, fn router.FunctionID,
 	budget router.Time, _, _ float64, _ int, _ router.Time, _ bool) routing.Handle {
 	p.now = now
-	r := &rpc{p: p, id: id, m: p.methods[m], fn: fn, end: now + budget}
+	r := &rpc{policy: p, id: id, method: p.methods[m], fn: fn, timeoutAt: now + budget}
 	r.send()
 	return r
 }
 
-// TimerFired implements core.Module.
+// TimerFired implements routing.Router.
 func (p *policy) TimerFired(now router.Time, token uint64) {
 	p.now = now
-	if r := p.held[token]; r != nil {
-		delete(p.held, token)
-		if r.waiting = false; !r.over {
+	if r := p.waiting[token]; r != nil {
+		delete(p.waiting, token)
+		if r.timerSet = false; !r.ended {
 			r.send()
 		}
 	}
 }
 
-// mayGo tells whether the RPC may go to a worker.
-func (r *rpc) mayGo(w *worker) bool {
-	if !w.ready || r.p.now < w.avoid {
+// maySendTo reports whether the RPC may be sent to a worker. In the last 40 ms of its window a tokened RPC may not be
+// repeated.
+func (r *rpc) maySendTo(w *worker) bool {
+	if !w.ready || r.policy.now < w.avoidUntil {
 		return false
 	}
-	if !r.may || r.m.effect == router.Idempotent {
+	if !r.mayHaveRun || r.method.effect == router.Idempotent {
 		return true
 	}
-	group := r.m.group == "all" || r.m.group == "zone" && w.zone == r.risk.zone || r.m.group == "cell" && w.cell == r.risk.cell
-	return r.m.effect == router.Tokened && group && r.p.now+400 <= r.riskAt+r.m.window
+	group := r.method.group == "all" || r.method.group == "zone" && w.zone == r.riskWorker.zone || r.method.group == "cell" && w.cell == r.riskWorker.cell
+	return r.method.effect == router.Tokened && group && r.policy.now+400 <= r.riskSince+r.method.window
 }
 
-// send sends it once more, or gives it up.
+// send starts a call-out, or gives the RPC up, also if no more than 20 ms of its time are left.
 func (r *rpc) send() {
-	p := r.p
-	if len(r.calls) >= p.most || p.now >= r.end-200 || r.may && r.m.effect == router.SideEffecting {
+	p := r.policy
+	if len(r.callOuts) >= p.maxCallOuts || p.now >= r.timeoutAt-200 || r.mayHaveRun && r.method.effect == router.SideEffecting {
 		r.giveUp()
 		return
 	}
 	w := p.pick(r)
 	if w == nil {
-		r.wait()
+		r.retryLater()
 		return
 	}
-	w.out++
-	r.out++
-	r.calls = append(r.calls, w)
-	if r.risk == nil {
-		r.risk, r.riskAt = w, p.now
+	w.inFlight++
+	r.inFlight++
+	r.callOuts = append(r.callOuts, w)
+	if r.riskWorker == nil {
+		r.riskWorker, r.riskSince = w, p.now
 	}
-	p.port.Send(r.id, w.id, 0, math.MaxInt64)
+	p.actions.Send(r.id, w.id, 0, math.MaxInt64)
 }
 
-// wait has it go out again a little later.
-func (r *rpc) wait() {
-	p := r.p
-	r.waiting = true
-	p.token++
-	p.held[p.token] = r
-	p.port.SetTimer(min(retry, max(1, r.end-200-p.now)), p.token)
+// retryLater has the RPC sent again after a pause, but 20 ms before its time is up at the latest.
+func (r *rpc) retryLater() {
+	p := r.policy
+	r.timerSet = true
+	p.lastToken++
+	p.waiting[p.lastToken] = r
+	p.actions.SetTimer(min(retryPause, max(1, r.timeoutAt-200-p.now)), p.lastToken)
 }
 
+// giveUp answers the RPC: denied where a retry is harmless, else aborted.
 func (r *rpc) giveUp() {
-	r.over = true
-	if r.may && (r.m.effect == router.SideEffecting || r.m.effect == router.Tokened && r.m.group != "all") {
-		r.p.port.Abort(r.id, router.NoTime)
+	r.ended = true
+	if r.mayHaveRun && (r.method.effect == router.SideEffecting || r.method.effect == router.Tokened && r.method.group != "all") {
+		r.policy.actions.Abort(r.id, router.NoTime)
 		return
 	}
-	r.p.port.Deny(r.id, r.p.back, router.NoTime)
+	r.policy.actions.Deny(r.id, r.policy.retryAfter, router.NoTime)
 }
 
-// CallOutEnded implements core.Handle.
+// CallOutEnded implements routing.Handle.
 func (r *rpc) CallOutEnded(now router.Time, n int, _ router.WorkerID, o router.Outcome, closed bool, _ router.Warmth, _ int,
 	_ router.Time, _ []float64) {
-	p := r.p
+	p := r.policy
 	p.now = now
-	w := r.calls[n]
-	w.out--
-	r.out--
-	if w.out == 0 && w.ready {
+	w := r.callOuts[n]
+	w.inFlight--
+	r.inFlight--
+	if w.inFlight == 0 && w.ready {
 		p.idle = append(p.idle, w)
 	}
 	switch o {
 	case router.ConnectFailed, router.Reset:
-		w.avoid = now + 10000
+		w.avoidUntil = now + 10000 // 1 s
 	}
 	switch o {
 	case router.Full, router.ConnectFailed, router.NotSent, router.NotLoaded:
-		if !r.may {
-			r.risk = nil
+		if !r.mayHaveRun {
+			r.riskWorker = nil
 		}
 	default:
-		r.may = true
+		r.mayHaveRun = true
 	}
-	if r.over = r.over || closed; r.over {
+	if r.ended = r.ended || closed; r.ended {
 		return
 	}
 	if o == router.Full || o == router.ConnectFailed {
-		r.wait()
+		r.retryLater()
 		return
 	}
 	r.send()
 }
 
-// ConfirmWorkerList implements core.Module: these policies go by the list whatever its age.
+// ConfirmWorkerList implements routing.Router: baselines use the worker list whatever its age.
 func (p *policy) ConfirmWorkerList(router.Time, router.Time) {}
 
-// ClientLeft implements core.Handle.
-func (r *rpc) ClientLeft(router.Time) { r.over = true }
+// ClientLeft implements routing.Handle.
+func (r *rpc) ClientLeft(router.Time) { r.ended = true }
 
-// Finished implements core.Handle.
-func (r *rpc) Finished() bool { return r.over && r.out == 0 && !r.waiting }
+// Finished implements routing.Handle.
+func (r *rpc) Finished() bool { return r.ended && r.inFlight == 0 && !r.timerSet }
 
-// pick is the policy.
+// pick chooses the worker for an RPC by the policy; nil: none may be used.
 func (p *policy) pick(r *rpc) *worker {
-	var able []*worker
-	for _, w := range p.list {
-		if r.mayGo(w) {
-			able = append(able, w)
+	var eligible []*worker
+	for _, w := range p.sortedWorkers {
+		if r.maySendTo(w) {
+			eligible = append(eligible, w)
 		}
 	}
-	if len(able) == 0 {
+	if len(eligible) == 0 {
 		return nil
 	}
-	chance := func() *worker { return able[p.rng.Intn(len(able))] }
-	least := func(ws []*worker) *worker {
-		return slices.MinFunc(ws, func(a, b *worker) int { return a.out - b.out })
+	randomWorker := func() *worker { return eligible[p.rng.Intn(len(eligible))] }
+	leastLoaded := func(ws []*worker) *worker {
+		return slices.MinFunc(ws, func(a, b *worker) int { return a.inFlight - b.inFlight })
 	}
 	switch p.name {
 	case "random":
-		return chance()
+		return randomWorker()
 	case "round-robin":
-		p.next++
-		return able[p.next%len(able)]
+		p.nextIndex++
+		return eligible[p.nextIndex%len(eligible)]
 	case "least-out":
-		return least(able)
+		return leastLoaded(eligible)
 	case "power-of-two":
-		return least([]*worker{chance(), chance()})
+		return leastLoaded([]*worker{randomWorker(), randomWorker()})
 	case "join-idle":
 		for len(p.idle) > 0 {
 			w := p.idle[0]
 			p.idle = p.idle[1:]
-			if w.out == 0 && r.mayGo(w) {
+			if w.inFlight == 0 && r.maySendTo(w) {
 				return w
 			}
 		}
-		return chance()
+		return randomWorker()
 	case "bounded-hash":
 		total := 0
-		for _, w := range able {
-			total += w.out
+		for _, w := range eligible {
+			total += w.inFlight
 		}
-		most := int(bound*float64(total+1)/float64(len(able))) + 1
-		ranked := slices.Clone(able)
+		limit := int(loadFactor*float64(total+1)/float64(len(eligible))) + 1
+		ranked := slices.Clone(eligible)
 		slices.SortFunc(ranked, func(a, b *worker) int {
-			if x, y := rank(r.fn, a.id), rank(r.fn, b.id); x != y {
+			if x, y := hashRank(r.fn, a.id), hashRank(r.fn, b.id); x != y {
 				return map[bool]int{true: -1, false: 1}[x < y]
 			}
 			return 0
 		})
 		for _, w := range ranked {
-			if w.out < most {
+			if w.inFlight < limit {
 				return w
 			}
 		}
 		return ranked[0]
 	}
-	// the oracle: a free lane on the worker with the fewest RPCs; else where a load is under way; else the emptiest
+	// The oracle: a free lane at the worker with the fewest RPCs, else a worker that is loading the function, else the
+	// worker with the fewest RPCs.
 	var best *worker
 	bestKey := [2]int{1 << 30, 1 << 30}
-	for _, w := range able {
-		free, loading, jobs, ok := p.truth(w.id, r.fn)
+	for _, w := range eligible {
+		free, loading, rpcs, ok := p.actual(w.id, r.fn)
 		if !ok {
 			continue
 		}
-		class := 2
+		tier := 2
 		if free > 0 {
-			class = 0
+			tier = 0
 		} else if loading {
-			class = 1
+			tier = 1
 		}
-		if key := [2]int{class, jobs}; key[0] < bestKey[0] || key[0] == bestKey[0] && key[1] < bestKey[1] {
+		if key := [2]int{tier, rpcs}; key[0] < bestKey[0] || key[0] == bestKey[0] && key[1] < bestKey[1] {
 			best, bestKey = w, key
 		}
 	}
 	return best
 }
 
-// rank orders workers for a function, alike at all front ends.
-func rank(fn router.FunctionID, w router.WorkerID) uint64 {
+// hashRank orders the workers for a function, alike at all front ends.
+func hashRank(fn router.FunctionID, w router.WorkerID) uint64 {
 	x := uint64(fn) ^ uint64(w)*0x9e3779b97f4a7c15
 	x ^= x >> 29
 	x *= 0xbf58476d1ce4e5b9
