--- a/internal/simadapter/serve_test.go
+++ b/internal/simadapter/serve_test.go
@@ -22,15 +22,15 @@
 	for _, c := range []struct{ name, in, out, err string }{
 		{"nothing", "", "", ""},
 		{"empty batch", "00000000 00000000" + clock, "00000000 00000000", ""},
-		{"unknown instance is passed over", "0c000000 02000000" + clock + "14 0300 0a 4d00000000000000",
+		{"unknown instance is ignored", "0c000000 02000000" + clock + "14 0300 0a 4d00000000000000",
 			"00000000 00000000", ""},
-		{"header cut short", "0000", "", "header is cut short"},
-		{"body cut short", "ffffffff 01000000" + clock + "14", "", "cut short after 1 of"},
+		{"header truncated", "0000", "", "header is truncated"},
+		{"body truncated", "ffffffff 01000000" + clock + "14", "", "truncated after 1 of"},
 		{"unknown code", "04000000 02000000" + clock + "14 0300 ff", "", "code 255: unknown code"},
-		{"record cut short", "02000000 01000000" + clock + "14 03", "", "record is cut short"},
+		{"record truncated", "02000000 01000000" + clock + "14 03", "", "record is truncated"},
 		{"too few records", "04000000 01000000" + clock + "14 0300 14", "", "1 bytes left over"},
-		{"no instance named", "09000000 01000000" + clock + "0a 4d00000000000000", "", "no instance named"},
-		{"list of unknown size", "06000000 01000000" + clock + "50 00 ffffffff", "", "record is cut short"},
+		{"no instance selected", "09000000 01000000" + clock + "0a 4d00000000000000", "", "no instance selected"},
+		{"list larger than its frame", "06000000 01000000" + clock + "50 00 ffffffff", "", "record is truncated"},
 	} {
 		var out bytes.Buffer
 		err := Serve(bytes.NewReader(frame(t, c.in)), &out)
@@ -48,7 +48,7 @@
 	f.Fuzz(func(t *testing.T, in []byte) {
 		err := Serve(bytes.NewReader(in), io.Discard)
 		if err != nil && strings.Contains(err.Error(), "router failed") {
-			t.Skip("the module's own panic, told as BROKEN")
+			t.Skip("a panic of the router, reported as BROKEN")
 		}
 		if err != nil && strings.Contains(err.Error(), "\n") {
 			t.Errorf("error of more than one line: %v", err)
