--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,4 @@
-// Command adapter speaks the simulator's wire on standard input and output.
+// Command adapter connects the router to a simulator over standard input and output.
 package main
 
 import (
