--- a/internal/settingkeys/terms.go
+++ b/internal/settingkeys/terms.go
@@ -71,7 +71,7 @@
 	AskEvery     = "ask-every"
 	ColdFrom     = "cold-from"     // capacity of a worker at its start, as a share of that of a warm one
 	Cold         = "cold"          // for how long a worker is cold after its start
-	Drain        = "drain"         // grace: how long after the start of a drain a worker may be sent something
+	Drain        = "drain"         // grace: how long after a reported drain a worker may be sent something
 	ListLasts    = "list-lasts"    // how old the worker list may be as evidence that workers do not drain
 	FallMultiple = "fall-multiple" // a cold worker is overloaded by this multiple of its capacity
 	Fall         = "fall"          // window over which the work of a cold worker is summed
--- a/router/placement.go
+++ b/router/placement.go
@@ -52,7 +52,7 @@
 	if best == nil && p.hasWaited() && !p.hasTimeToLoad() {
 		return p.block(cmp.Or(p.blockReason, LoadTime))
 	}
-	// Exception: the RPC joins a load that this front end started, if the copy will have a free lane.
+	// Exception: the RPC joins a load that another RPC of this front end started, if the copy will have a free lane.
 	if best = cmp.Or(best, joining); best != nil {
 		if !r.confirmed(best) {
 			r.ensureCheck(best)
--- a/router/router.go
+++ b/router/router.go
@@ -49,7 +49,7 @@
 	unhealthySlowness  = 3.5     // smoothed slowness against peers above which a worker is unhealthy
 	silenceFactor      = 6       // usual run times after which a missing answer counts as silence
 
-	// Loads stay in a zone if its memory is at least this multiple of that of all functions in use.
+	// Loads stay in a zone if its memory exceeds that of all functions in use by this factor.
 	zoneMemoryFactor = 3
 
 	workerWorkDecay   = 5 * sec  // averaging period of the work of warm workers
@@ -82,7 +82,7 @@
 	workerInFlightCap = 6
 	idleUtil          = 0.8  // a worker that reports less is given more than that, by a step with each answer
 	busyUtil          = 0.95 // a worker that reports more is given less again, since its cores are taken
-	idleShareFactor   = 4    // limit of that increase, as a multiple of workerInFlightCap
+	idleShareFactor   = 4    // limit of that increase, as a multiple of the front end's even share
 
 	// RPCs in flight per worker on average, of all front ends together, while answers are late.
 	fleetInFlightCap = 8
@@ -141,7 +141,7 @@
 	listAsOf, listValidUntil     Time               // when it was last known correct; until when it is evidence
 	listMaxAge                   Time               // 0: discovery reports each change at once
 	pauseEnd, pauseStart         Time               // of the last pause of the process
-	drainGrace                   Time               // a draining worker may be sent something for this time
+	drainGrace                   Time               // sending is allowed for this long after a reported drain
 	listWasExpired               bool               // when last logged
 }
 
