--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -132,15 +132,14 @@
 	}
 }
 
-// LoadOrderEnded, CheckEnded, UpdateSettings, LoadsHalted and Dispatch implement routing.Router. A baseline sends no
-// request that they answer.
+// LoadOrderEnded implements routing.Router. Baselines send no load orders and no checks.
 func (p *policy) LoadOrderEnded(router.Time, router.WorkerID, router.FunctionID, router.Outcome, int, router.Time) {
 }
 
 // CheckEnded implements routing.Router.
 func (p *policy) CheckEnded(router.Time, router.WorkerID, router.Outcome, router.Time, []float64) {}
 
-// UpdateSettings implements routing.Router.
+// UpdateSettings implements routing.Router: baselines keep the settings that they started with.
 func (p *policy) UpdateSettings(router.Time, router.ParsedSettings) {}
 
 // LoadsHalted implements routing.Router.
