--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -512,7 +512,7 @@
 		return fmt.Errorf("worker %q has the id of worker %q: rename one of them", name, w.name)
 	}
 	w := e.ensureWorker(name)
-	if w.lastList = e.listCount; state != router.Gone {
+	if w.lastList = e.listCount; state != router.Removed {
 		w.removedAt = 0
 	} else if w.removedAt == 0 {
 		w.removedAt = e.now
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -217,7 +217,7 @@
 		e.EndWorkerList()
 	}
 	list(router.ListComplete, router.Ready, "a", "b", "c", "d")
-	list(router.ListChanges, router.Gone, "a", "d")
+	list(router.ListChanges, router.Removed, "a", "d")
 	list(router.ListComplete, router.Ready, "c", "d")
 	for _, c := range []struct {
 		now            router.Time
--- a/internal/rosterwatch/watcher.go
+++ b/internal/rosterwatch/watcher.go
@@ -190,7 +190,7 @@
 // ListReceived returns a channel that is closed when a list from the roster, not from the cache, has been applied.
 func (w *Watcher) ListReceived() <-chan struct{} { return w.listReceived }
 
-var readinessByState = map[string]router.Readiness{"gone": router.Gone, "ready": router.Ready, "draining": router.Draining}
+var readinessByState = map[string]router.Readiness{"gone": router.Removed, "ready": router.Ready, "draining": router.Draining}
 
 // Run watches the roster until the context ends. It starts with the cached list, if there is one.
 func (w *Watcher) Run(ctx context.Context) error {
