--- a/internal/httplink/httplink.go
+++ b/internal/httplink/httplink.go
@@ -1,8 +1,8 @@
-// Package httplink is a front end's side towards workers that speak HTTP/1.1, one message at a time on a connection.
-// Connections belong to a worker's id, never to its address: a new worker may have that of one that is gone.
+// Package httplink connects a front end to workers that speak HTTP/1.1, with one request at a time on a connection.
+// Connections belong to a worker's id, never to its address: a new worker may reuse the address of a removed one.
 //
-// A link tells the engine how each call-out and order ended, and whether that proves that it never ran: what did not
-// leave whole never arrived whole. It sends nothing twice, but for what did not leave whole.
+// A link reports to the engine how each call-out and load order ended, and whether the result proves that it never ran:
+// a request that was not written completely never arrived completely. Only such a request is ever sent again.
 package httplink
 
 import (
@@ -32,156 +32,159 @@
 )
 
 const (
-	path     = "/v2/q/"
-	bodyMost = 64 << 10 // of an answer; the protocol's bodies have 16 KiB
-	// A used connection rests, so that what comes behind its answer meets no other message: nothing in an answer tells
-	// whose it is. A second copy comes some milliseconds late; 50 ms are what the protocol gives each time limit for the
-	// sockets' sake.
-	rest      = 50 * time.Millisecond
-	connsMost = 3           // more connections that a message is tried on while it has not left whole
-	look      = time.Second // how often idle connections are looked at
+	rpcPath = "/v2/q/"
+	maxBody = 64 << 10 // bytes of a response body; the protocol limits bodies to 16 KiB
+	// A connection is not reused within this time after its last response. Responses carry no id, so a stray second
+	// copy of a response would be taken for the next request's. Such copies arrive a few milliseconds late; 50 ms is the
+	// allowance that the protocol adds to each of its time limits for socket delays.
+	reuseDelay        = 50 * time.Millisecond
+	maxExtraConns     = 3           // further connections tried for a request that has not been written completely
+	idleCheckInterval = time.Second // time between two checks of the idle connections
 )
 
-// Options are the settings of all links of a front end.
+// Options are the settings that all links of a front end share.
 type Options struct {
 	ConnectTimeout time.Duration
-	OrderTimeout   time.Duration // an order without an answer by then is given up
-	IdleTimeout    time.Duration // workers close connections idle for so long; we do in half that time
-	MaxPause       time.Duration // nothing that was decided before a longer pause of the process begins; 0: pauses do not matter
-	MaxConnections int           // to all workers at once, idle ones included
-	ReportValues   []string      // the figures of a load report, in our words, by their places
-	Dialer         Dialer        // nil: hop's
+	OrderTimeout   time.Duration // a load order without a response by then has failed
+	IdleTimeout    time.Duration // workers close connections idle for this long; the front end closes them at half of it
+	MaxPause       time.Duration // a request decided on before a longer pause of the process is not sent; 0: no limit
+	MaxConnections int           // to all workers together, including idle connections
+	ReportValues   []string      // names of the values of a load report, as the router's settings spell them, by index
+	Dialer         Dialer        // nil: httpconn.Dial
 	Log            zerolog.Logger
 }
 
-// Dialer makes connections to workers.
+// Dialer opens connections to workers.
 type Dialer interface {
 	Dial(ctx context.Context, address string, within time.Duration) (*httpconn.Conn, error)
 }
 
-type dialer struct{}
+type tcpDialer struct{}
 
-func (dialer) Dial(ctx context.Context, address string, within time.Duration) (*httpconn.Conn, error) {
+func (tcpDialer) Dial(ctx context.Context, address string, within time.Duration) (*httpconn.Conn, error) {
 	return httpconn.Dial(ctx, address, within)
 }
 
-// LinkSet has a front end's links. Its methods are for turns of the loop alone.
+// LinkSet holds a front end's links. Its methods may only be called in turns of the event loop, that is, on its
+// goroutine.
 type LinkSet struct {
-	o      Options
-	loop   *eventloop.Loop
-	engine *engine.Engine
-	links  map[string]*Link
-	conns  int // connections that stand or are being made
-	looked time.Time
+	options       Options
+	loop          *eventloop.Loop
+	engine        *engine.Engine
+	links         map[string]*Link
+	connCount     int // connections that are open or being dialled
+	idleCheckedAt time.Time
 
-	// By the loop's clock, for exchanges: when the last turn began, and the last one after a pause.
-	lastTurn, wokeAt atomic.Int64
+	// Times by the event loop's clock, read by exchanges: when the last turn began, and when the last turn after a pause
+	// of the process began.
+	lastTurn, resumedAt atomic.Int64
 }
 
-// New makes a set.
+// New returns a LinkSet without links.
 func New(loop *eventloop.Loop, e *engine.Engine, o Options) *LinkSet {
 	s := &LinkSet{loop: loop, engine: e, links: map[string]*Link{}}
 	s.UpdateSettings(o)
 	return s
 }
 
-// Link is the way to one worker. All but what exchanges do belongs to the loop's goroutine.
+// Link sends requests to one worker. Its fields are used on the event loop's goroutine only; exchanges run on their own.
 type Link struct {
-	s       *LinkSet
-	name    string
-	address string
-	id      router.WorkerID
-	idle    []idle
-	out     map[engine.CallOutID]*exchange
-	all     map[*exchange]bool // call-outs, orders and checks that have not ended
-	gone    bool
+	set       *LinkSet
+	name      string
+	address   string
+	id        router.WorkerID
+	idle      []idleConn
+	callOuts  map[engine.CallOutID]*exchange
+	exchanges map[*exchange]bool // call-outs, orders and checks that have not ended
+	removed   bool
 }
 
-type idle struct {
+type idleConn struct {
 	conn  *httpconn.Conn
 	since time.Time
 }
 
-// Add has a link to the worker at an address; id is the worker's at the engine.
+// Add creates a link to the worker at the address, unless there is one; id is the engine's id of the worker.
 func (s *LinkSet) Add(name, address string, id router.WorkerID) {
 	l := s.links[name]
 	if l != nil && l.address == address {
 		return
 	}
 	s.Remove(name)
-	l = &Link{s: s, name: name, address: address, id: id, out: map[engine.CallOutID]*exchange{},
-		all: map[*exchange]bool{}}
+	l = &Link{set: s, name: name, address: address, id: id, callOuts: map[engine.CallOutID]*exchange{},
+		exchanges: map[*exchange]bool{}}
 	s.links[name] = l
 	s.engine.SetLink(name, l)
 }
 
-// Remove lets go of a link: nothing more is sent on it; what is out may still end, or be called off. What waits for its
-// connection is given up: one that came up late would carry an RPC or an order past the grace of the worker's drain.
+// Remove removes a link: nothing more is sent on it. Requests in flight may still end or be cancelled. Requests that wait
+// for their connection are stopped: a connection that is established late would carry an RPC or a load order past the
+// grace of the worker's drain.
 func (s *LinkSet) Remove(name string) {
 	if l := s.links[name]; l != nil {
-		l.gone = true
+		l.removed = true
 		delete(s.links, name)
-		for x := range l.all {
-			x.unwant()
+		for x := range l.exchanges {
+			x.stopUnsent()
 		}
 		l.closeIdle(time.Now())
 	}
 }
 
-// UpdateSettings takes new settings.
+// UpdateSettings replaces the options; exchanges that have started keep the old ones.
 func (s *LinkSet) UpdateSettings(o Options) {
-	if s.o = o; o.Dialer == nil {
-		s.o.Dialer = dialer{}
+	if s.options = o; o.Dialer == nil {
+		s.options.Dialer = tcpDialer{}
 	}
 }
 
-// Describe tells for each link what is out on it and how many connections are idle; see router.Router's.
+// Describe returns the number of call-outs in flight and of idle connections for each link; see router.Router.Describe.
 func (s *LinkSet) Describe() string {
 	var b strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(s.links)) {
 		l := s.links[name]
-		fmt.Fprintf(&b, " %d:%d/%d", l.id, len(l.out), len(l.idle))
+		fmt.Fprintf(&b, " %d:%d/%d", l.id, len(l.callOuts), len(l.idle))
 	}
-	return fmt.Sprintf("connections %d of %d;%s", s.conns, s.o.MaxConnections, b.String())
+	return fmt.Sprintf("connections %d of %d;%s", s.connCount, s.options.MaxConnections, b.String())
 }
 
-// BeginTurn notes pauses of the process, and looks after idle connections.
+// BeginTurn records pauses of the process and closes connections that have been idle for too long.
 func (s *LinkSet) BeginTurn() {
 	turnAt := s.loop.Now()
-	if s.paused(turnAt, s.o.MaxPause) {
-		s.wokeAt.Store(int64(turnAt))
+	if s.paused(turnAt, s.options.MaxPause) {
+		s.resumedAt.Store(int64(turnAt))
 	}
 	s.lastTurn.Store(int64(turnAt))
 	now := time.Now()
-	if now.Sub(s.looked) < look {
+	if now.Sub(s.idleCheckedAt) < idleCheckInterval {
 		return
 	}
-	s.looked = now
+	s.idleCheckedAt = now
 	for _, l := range s.links {
-		l.closeIdle(now.Add(-s.o.IdleTimeout / 2))
+		l.closeIdle(now.Add(-s.options.IdleTimeout / 2))
 	}
 }
 
-// paused: no turn came for longer than most; with 0 none counts as a pause. Nobody knows what the list of workers has told
-// meanwhile. Any goroutine may ask.
-func (s *LinkSet) paused(now router.Time, most time.Duration) bool {
+// paused reports whether the last turn of the event loop began longer ago than the limit, which means that changes of
+// the worker list may not have been received. With a limit of 0 nothing counts as a pause. Any goroutine may call it.
+func (s *LinkSet) paused(now router.Time, limit time.Duration) bool {
 	last := router.Time(s.lastTurn.Load())
-	return most > 0 && last > 0 && now-last > eventloop.FromDuration(most)
+	return limit > 0 && last > 0 && now-last > eventloop.FromDuration(limit)
 }
 
-// Close closes all idle connections: the front end ends.
+// Close closes all idle connections when the front end stops.
 func (s *LinkSet) Close() {
 	for _, l := range s.links {
 		l.closeIdle(time.Now())
 	}
 }
 
-// closeIdle closes connections idle since before a time.
+// closeIdle closes connections that have been idle since before the given time, and those that can't be reused.
 func (l *Link) closeIdle(before time.Time) {
 	kept := l.idle[:0]
 	for _, c := range l.idle {
 		if c.since.Before(before) || !c.conn.Reusable() {
-			l.drop(c.conn)
+			l.closeConn(c.conn)
 			continue
 		}
 		kept = append(kept, c)
@@ -190,31 +193,32 @@
 	l.idle = kept
 }
 
-func (l *Link) drop(c *httpconn.Conn) {
+func (l *Link) closeConn(c *httpconn.Conn) {
 	c.Close()
-	l.s.conns--
+	l.set.connCount--
 }
 
-// take gives an idle connection that may be used again; nil: there is none.
-func (l *Link) take() *httpconn.Conn {
+// takeIdle removes and returns an idle connection that may be reused, or nil if there is none.
+func (l *Link) takeIdle() *httpconn.Conn {
 	now := time.Now()
 	for i := len(l.idle) - 1; i >= 0; i-- {
 		c := l.idle[i]
-		if now.Sub(c.since) < rest {
+		if now.Sub(c.since) < reuseDelay {
 			continue
 		}
 		l.idle = append(l.idle[:i], l.idle[i+1:]...)
 		if c.conn.Reusable() {
 			return c.conn
 		}
-		l.drop(c.conn)
+		l.closeConn(c.conn)
 	}
 	return nil
 }
 
-// room tells whether one more connection may be made; idle ones of any worker give way.
-func (s *LinkSet) room() bool {
-	for s.conns >= s.o.MaxConnections {
+// makeRoom reports whether one more connection may be opened. It closes idle connections to any worker, the oldest
+// first, until there is room.
+func (s *LinkSet) makeRoom() bool {
+	for s.connCount >= s.options.MaxConnections {
 		var oldest *Link
 		for _, l := range s.links {
 			if len(l.idle) > 0 && (oldest == nil || l.idle[0].since.Before(oldest.idle[0].since)) {
@@ -224,239 +228,245 @@
 		if oldest == nil {
 			return false
 		}
-		oldest.drop(oldest.idle[0].conn)
+		oldest.closeConn(oldest.idle[0].conn)
 		oldest.idle = oldest.idle[1:]
 	}
 	return true
 }
 
-// exchange is one message that is out.
+// exchange is one request to a worker, from the moment it is handed to the link until its response or error.
 type exchange struct {
-	l       *Link
-	o       Options
-	what    string
-	message []byte
-	by      time.Time
-	decided router.Time // by the loop's clock, as beginBy
-	beginBy router.Time // by the loop's clock: its first byte goes out by then, or never
-	ended   func(e end) // in a turn
-	ctx     context.Context
-	cancel  context.CancelFunc
-
-	// The last question before the first byte goes out, and the answers to it: see begin.
-	mu    sync.Mutex
-	conn  *httpconn.Conn
-	begun bool // a first byte was offered
-	over  bool // nobody waits for it any more, or it must not begin
-}
-
-// end is how an exchange ended; Err nil: with an answer.
-type end struct {
+	link      *Link
+	options   Options
+	label     string
+	message   []byte
+	deadline  time.Time
+	decidedAt router.Time    // when the request was handed over, by the event loop's clock
+	startBy   router.Time    // its first byte is written by then or never, by the event loop's clock
+	onEnd     func(r result) // called in a turn of the event loop
+	ctx       context.Context
+	cancel    context.CancelFunc
+
+	// State that sendFirstBytes checks and sets under the lock before the first byte is written.
+	mu      sync.Mutex
+	conn    *httpconn.Conn
+	started bool // the first bytes were handed to the socket
+	stopped bool // the response is no longer wanted, or the request must not be sent
+}
+
+// result is the outcome of an exchange: a response if err is nil.
+type result struct {
 	httpconn.Answer
 	err   error
-	local bool // it never left: for lack of descriptors here, because the worker is gone, or nobody waited any more
+	local bool // not sent for a reason that says nothing about the worker: out of descriptors, link removed, cancelled
 }
 
-// start sends a message on a connection of its own. It begins to leave by a time of the loop's clock, or never.
-func (l *Link) start(what string, message []byte, within time.Duration, beginBy router.Time, ended func(e end)) *exchange {
-	x := &exchange{l: l, o: l.s.o, what: what, message: message, by: time.Now().Add(within),
-		decided: l.s.loop.Now(), beginBy: beginBy, ended: ended}
+// start sends a message on a connection that no other exchange uses. Its first byte is written by startBy, a time of the
+// event loop's clock, or never.
+func (l *Link) start(label string, message []byte, timeout time.Duration, startBy router.Time, onEnd func(e result)) *exchange {
+	x := &exchange{link: l, options: l.set.options, label: label, message: message, deadline: time.Now().Add(timeout),
+		decidedAt: l.set.loop.Now(), startBy: startBy, onEnd: onEnd}
 	x.ctx, x.cancel = context.WithCancel(context.Background())
-	conn := l.take()
+	conn := l.takeIdle()
 	if conn == nil {
-		if l.gone || !l.s.room() {
-			l.s.loop.Post(func() { ended(end{err: httpconn.ErrNotSent, local: true}) })
+		if l.removed || !l.set.makeRoom() {
+			l.set.loop.Post(func() { onEnd(result{err: httpconn.ErrNotSent, local: true}) })
 			return x
 		}
-		l.s.conns++
+		l.set.connCount++
 	}
-	l.all[x] = true
+	l.exchanges[x] = true
 	go x.run(conn)
 	return x
 }
 
-// run has the exchange. What did not leave whole is sent on a new connection, a few times.
+// run performs the exchange and posts its result to the event loop.
 func (x *exchange) run(conn *httpconn.Conn) {
 	began := time.Now()
-	a, conn, again, err := x.try(conn)
-	e := end{Answer: a, err: err}
-	for _, ours := range []error{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, errUnwanted} {
-		e.local = e.local || errors.Is(err, ours) // it tells nothing of the worker
+	a, conn, reusable, err := x.send(conn)
+	res := result{Answer: a, err: err}
+	for _, localErr := range []error{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, errCancelled} {
+		res.local = res.local || errors.Is(err, localErr) // says nothing about the worker
 	}
 	if err != nil && conn != nil {
 		conn.Close()
 	}
 	x.cancel()
-	if ev := x.o.Log.Debug(); ev != nil {
-		ev.Str("worker", x.l.name).Str("what", x.what).Int("status", a.Status).AnErr("error", err).
+	if ev := x.options.Log.Debug(); ev != nil {
+		ev.Str("worker", x.link.name).Str("what", x.label).Int("status", a.Status).AnErr("error", err).
 			Str("remark", a.Header.Get("X-Remark")).Str("company", a.Header.Get("X-Company")).Str("meter", a.Header.Get("X-Meter")).
-			Dur("took", time.Since(began)).Msg("exchange")
+			Dur("took", time.Since(began)).Msg("exchange with worker ended")
 	}
-	x.l.s.loop.Post(func() {
-		l := x.l
-		delete(l.all, x)
-		if err == nil && again && !l.gone {
-			l.idle = append(l.idle, idle{conn, time.Now()})
+	x.link.set.loop.Post(func() {
+		l := x.link
+		delete(l.exchanges, x)
+		if err == nil && reusable && !l.removed {
+			l.idle = append(l.idle, idleConn{conn, time.Now()})
 		} else {
 			if conn != nil {
 				conn.Close()
 			}
-			l.s.conns--
+			l.set.connCount--
 		}
-		x.ended(e)
+		x.onEnd(res)
 	})
 }
 
-// Reasons for which an exchange ended before its first byte went out.
+// Reasons why an exchange ended before its first byte was written.
 var (
-	errUnwanted = errors.New("given up before it began")
-	errLapsed   = errors.New("too late to begin: nothing proves any more that the worker does not drain")
+	errCancelled = errors.New("cancelled before it was sent")
+	errExpired   = errors.New("too late to send: the worker may be draining by now")
 )
 
-func (x *exchange) try(conn *httpconn.Conn) (a httpconn.Answer, used *httpconn.Conn, again bool, err error) {
-	for left := connsMost; ; left-- {
+// send writes the message and reads the response. A message that was not written completely is sent again on a new
+// connection, up to maxExtraConns times.
+func (x *exchange) send(conn *httpconn.Conn) (a httpconn.Answer, used *httpconn.Conn, reusable bool, err error) {
+	for attemptsLeft := maxExtraConns; ; attemptsLeft-- {
 		if conn == nil {
-			conn, err = x.o.Dialer.Dial(x.ctx, x.l.address, min(x.o.ConnectTimeout, time.Until(x.by)))
-			if errors.Is(err, syscall.ECONNRESET) && left > 0 { // it came up, and broke
+			conn, err = x.options.Dialer.Dial(x.ctx, x.link.address, min(x.options.ConnectTimeout, time.Until(x.deadline)))
+			if errors.Is(err, syscall.ECONNRESET) && attemptsLeft > 0 { // established, then reset
 				continue
 			}
 			if err != nil && x.ctx.Err() != nil {
-				err = errors.Join(errUnwanted, err)
+				err = errors.Join(errCancelled, err)
 			}
 			if err != nil {
 				return a, nil, false, errors.Join(httpconn.ErrNotSent, err)
 			}
 		}
 		var n int
-		if n, err = x.begin(conn); err == nil {
-			a, again, err = conn.Exchange(x.message[n:], x.by, bodyMost)
+		if n, err = x.sendFirstBytes(conn); err == nil {
+			a, reusable, err = conn.Exchange(x.message[n:], x.deadline, maxBody)
 		}
-		if !errors.Is(err, httpconn.ErrNotSent) || errors.Is(err, errUnwanted) || errors.Is(err, errLapsed) || left == 0 {
-			return a, conn, again, err
+		if !errors.Is(err, httpconn.ErrNotSent) || errors.Is(err, errCancelled) || errors.Is(err, errExpired) || attemptsLeft == 0 {
+			return a, conn, reusable, err
 		}
 		conn.Close()
 		conn = nil
 	}
 }
 
-// begin is the one place where a message's first byte goes out. It asks for the last time whether it still may: its
-// worker still wanted, its client still there, its time not up. Unwant and giving up take the same lock: either they come
-// first and nothing is sent, or the message had begun before them. It guards against connections that come up late, when
-// the worker drains or the client has gone meanwhile.
-func (x *exchange) begin(c *httpconn.Conn) (n int, err error) {
+// sendFirstBytes is the only place where a message's first byte is written. It first checks that the link has not been
+// removed, the request has not been cancelled, and its time is not over. Remove and CancelCallOut take the same lock, so
+// either they come first and nothing is sent, or the message was started before them. This matters when a connection is
+// established late, after the worker has begun to drain or the client has left.
+func (x *exchange) sendFirstBytes(c *httpconn.Conn) (n int, err error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.conn = c
-	if x.over || !time.Now().Before(x.by) {
-		return 0, errors.Join(httpconn.ErrNotSent, errUnwanted)
+	if x.stopped || !time.Now().Before(x.deadline) {
+		return 0, errors.Join(httpconn.ErrNotSent, errCancelled)
 	}
-	// Here and not where it was decided: a connection may come up late, and the process may have stood still since.
-	if x.lapsed() {
-		return 0, errors.Join(httpconn.ErrNotSent, errLapsed)
+	// Checked here and not where the request was decided on: the connection may have been established late, and the
+	// process may have been paused in between.
+	if x.expired() {
+		return 0, errors.Join(httpconn.ErrNotSent, errExpired)
 	}
-	x.begun = true
-	return c.WriteNow(x.message, x.by)
+	x.started = true
+	return c.WriteNow(x.message, x.deadline)
 }
 
-// lapsed: it is too late to begin, or the process stood still since that was decided. What may begin at any time does.
-func (x *exchange) lapsed() bool {
-	if x.beginBy == math.MaxInt64 {
+// expired reports whether startBy has passed, or the process has been paused since the request was decided on. A startBy
+// of math.MaxInt64 never expires.
+func (x *exchange) expired() bool {
+	if x.startBy == math.MaxInt64 {
 		return false
 	}
-	now := x.l.s.loop.Now()
-	return now > x.beginBy || x.l.s.paused(now, x.o.MaxPause) || x.decided < router.Time(x.l.s.wokeAt.Load())
+	now := x.link.set.loop.Now()
+	return now > x.startBy || x.link.set.paused(now, x.options.MaxPause) || x.decidedAt < router.Time(x.link.set.resumedAt.Load())
 }
 
-// giveUp closes the connection: that is how a worker is told. Nothing begins any more.
-func (x *exchange) giveUp() {
+// stop closes the connection, which cancels the request at the worker. A request that has not been started is never sent.
+func (x *exchange) stop() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.over = true; x.conn != nil {
+	if x.stopped = true; x.conn != nil {
 		x.conn.Close()
 	}
 	x.cancel()
 }
 
-// unwant gives up what has not begun; what has may still be answered, but is not tried on another connection.
-func (x *exchange) unwant() {
+// stopUnsent cancels a request that has not been started. One that has may still be answered, but is not sent again on
+// another connection.
+func (x *exchange) stopUnsent() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.over = true; !x.begun {
+	if x.stopped = true; !x.started {
 		x.cancel()
 	}
 }
 
-// outcome is what an end without an answer proves.
-func (e end) outcome() router.Outcome {
-	var op net.Error
+// outcome returns what an error proves about the request.
+func (r result) outcome() router.Outcome {
+	var netErr net.Error
 	switch {
-	case errors.Is(e.err, errLapsed):
+	case errors.Is(r.err, errExpired):
 		return router.NotSent
-	case e.local, errors.Is(e.err, httpconn.ErrNotSent) && errors.Is(e.err, syscall.ECONNRESET): // connections came up, and broke
+	case r.local, errors.Is(r.err, httpconn.ErrNotSent) && errors.Is(r.err, syscall.ECONNRESET): // established, then reset
 		return router.Full
-	case errors.Is(e.err, httpconn.ErrNotSent):
+	case errors.Is(r.err, httpconn.ErrNotSent):
 		return router.ConnectFailed
-	case errors.Is(e.err, httpconn.ErrBadAnswer): // it tells of the way, not of the function; it has run
+	case errors.Is(r.err, httpconn.ErrBadAnswer): // the connection is at fault, not the function; the request has run
 		return router.Reset
-	case errors.As(e.err, &op) && op.Timeout():
+	case errors.As(r.err, &netErr) && netErr.Timeout():
 		return router.TimedOut
-	case errors.Is(e.err, io.EOF), errors.Is(e.err, syscall.ECONNRESET), errors.Is(e.err, syscall.EPIPE):
+	case errors.Is(r.err, io.EOF), errors.Is(r.err, syscall.ECONNRESET), errors.Is(r.err, syscall.EPIPE):
 		return router.Reset
-	case errors.Is(e.err, net.ErrClosed):
+	case errors.Is(r.err, net.ErrClosed):
 		return router.Cancelled
 	}
 	return router.Errored
 }
 
 // Send implements engine.Link.
-func (l *Link) Send(id engine.CallOutID, p *engine.RPC, left, by router.Time) {
-	b := make([]byte, 0, 256+len(p.Blob))
-	verb := "POST "
-	if len(p.Blob) == 0 {
-		verb = "GET "
+func (l *Link) Send(id engine.CallOutID, rpc *engine.RPC, timeLeft, startBy router.Time) {
+	b := make([]byte, 0, 256+len(rpc.Blob))
+	method := "POST "
+	if len(rpc.Blob) == 0 {
+		method = "GET "
 	}
-	b = append(append(append(b, verb...), path...), p.Method.Name...)
-	b = l.host(b)
-	b = append(append(b, "\r\nX-Ticket: "...), p.ClientRPCID...)
-	b = append(append(b, "\r\nX-Ref: "...), p.Function...)
-	b = strconv.AppendInt(append(b, "\r\nX-Max-Ms: "...), max(1, int64(left/10)), 10)
-	if p.Token != "" {
-		b = append(append(b, "\r\nX-Nonce: "...), p.Token...)
+	b = append(append(append(b, method...), rpcPath...), rpc.Method.Name...)
+	b = l.appendHost(b)
+	b = append(append(b, "\r\nX-Ticket: "...), rpc.ClientRPCID...)
+	b = append(append(b, "\r\nX-Ref: "...), rpc.Function...)
+	b = strconv.AppendInt(append(b, "\r\nX-Max-Ms: "...), max(1, int64(timeLeft/10)), 10)
+	if rpc.Token != "" {
+		b = append(append(b, "\r\nX-Nonce: "...), rpc.Token...)
 	}
-	if len(p.Blob) > 0 {
-		b = strconv.AppendInt(append(b, "\r\nContent-Length: "...), int64(len(p.Blob)), 10)
+	if len(rpc.Blob) > 0 {
+		b = strconv.AppendInt(append(b, "\r\nContent-Length: "...), int64(len(rpc.Blob)), 10)
 	}
-	b = append(append(b, "\r\n\r\n"...), p.Blob...)
-	l.out[id] = l.start(p.ClientRPCID, b, eventloop.ToDuration(left), by, func(e end) {
-		delete(l.out, id)
-		if e.err != nil {
-			l.s.engine.CallOutEnded(id, l.id, e.outcome(), router.WarmthUnknown, 0, nil, []byte(e.err.Error()), nil)
+	b = append(append(b, "\r\n\r\n"...), rpc.Blob...)
+	l.callOuts[id] = l.start(rpc.ClientRPCID, b, eventloop.ToDuration(timeLeft), startBy, func(res result) {
+		delete(l.callOuts, id)
+		if res.err != nil {
+			l.set.engine.CallOutEnded(id, l.id, res.outcome(), router.WarmthUnknown, 0, nil, []byte(res.err.Error()), nil)
 			return
 		}
-		o, warmth := answered(e)
+		o, warmth := parseOutcome(res)
 		var body, cause []byte
 		if o == router.OK {
-			body = e.Body
+			body = res.Body
 		} else {
-			cause = strconv.AppendInt([]byte("worker "+l.name+" answers "), int64(e.Status), 10)
+			cause = strconv.AppendInt([]byte("worker "+l.name+" answers "), int64(res.Status), 10)
 		}
-		crowd, err := strconv.Atoi(e.Header.Get("X-Company"))
-		if err != nil || crowd < 0 || crowd > math.MaxInt16 {
-			crowd = 0
+		otherRPCs, err := strconv.Atoi(res.Header.Get("X-Company"))
+		if err != nil || otherRPCs < 0 || otherRPCs > math.MaxInt16 {
+			otherRPCs = 0
 		}
-		l.s.engine.CallOutEnded(id, l.id, o, warmth, crowd, l.s.report(e.Header.Get("X-Meter")), cause, body)
+		l.set.engine.CallOutEnded(id, l.id, o, warmth, otherRPCs, l.set.parseReport(res.Header.Get("X-Meter")), cause, body)
 	})
 }
 
-func (l *Link) host(b []byte) []byte {
+func (l *Link) appendHost(b []byte) []byte {
 	return append(append(b, " HTTP/1.1\r\nHost: "...), l.address...)
 }
 
-// answered tells what an answer's status and note mean.
-func answered(e end) (router.Outcome, router.Warmth) {
-	notRun := e.Header.Get("X-Shed") == "1"
+// parseOutcome returns what a response's status and its X-Shed and X-Remark headers mean.
+func parseOutcome(res result) (router.Outcome, router.Warmth) {
+	didNotRun := res.Header.Get("X-Shed") == "1"
 	warmth := router.WarmthUnknown
-	switch e.Header.Get("X-Remark") {
+	switch res.Header.Get("X-Remark") {
 	case "warm":
 		warmth = router.AlreadyWarm
 	case "cold":
@@ -467,79 +477,80 @@
 		warmth = router.LoadFailed
 	}
 	switch {
-	case e.Status == http.StatusOK:
+	case res.Status == http.StatusOK:
 		return router.OK, warmth
-	case e.Status == http.StatusNotFound:
+	case res.Status == http.StatusNotFound:
 		return router.NotLoaded, warmth
-	case e.Status == http.StatusServiceUnavailable && notRun:
+	case res.Status == http.StatusServiceUnavailable && didNotRun:
 		return router.Full, warmth
-	case e.Status == http.StatusGatewayTimeout && notRun:
+	case res.Status == http.StatusGatewayTimeout && didNotRun:
 		return router.NotSent, warmth
 	}
 	return router.Errored, warmth
 }
 
-// report reads a load report: the figures of the settings, by their places; nil where one can't be read.
-func (s *LinkSet) report(meter string) []float64 {
-	if meter == "" || len(s.o.ReportValues) == 0 {
+// parseReport returns the values of a load report in the order of the settings, or nil if one is missing or invalid.
+func (s *LinkSet) parseReport(header string) []float64 {
+	if header == "" || len(s.options.ReportValues) == 0 {
 		return nil
 	}
-	out, found := make([]float64, len(s.o.ReportValues)), 0
-	for field := range strings.SplitSeq(meter, ";") {
+	values, found := make([]float64, len(s.options.ReportValues)), 0
+	for field := range strings.SplitSeq(header, ";") {
 		name, value, _ := strings.Cut(field, ":")
 		v, err := strconv.ParseFloat(value, 64)
-		for i, known := range s.o.ReportValues {
+		for i, known := range s.options.ReportValues {
 			if err == nil && known == operatorsettings.Translate(name) && !math.IsNaN(v) && !math.IsInf(v, 0) {
-				out[i] = v
+				values[i] = v
 				found++
 			}
 		}
 	}
-	if found < len(out) {
+	if found < len(values) {
 		return nil
 	}
-	return out
+	return values
 }
 
 // CancelCallOut implements engine.Link.
 func (l *Link) CancelCallOut(id engine.CallOutID) {
-	if x := l.out[id]; x != nil {
-		x.giveUp()
+	if x := l.callOuts[id]; x != nil {
+		x.stop()
 	}
 }
 
-// CancelLoadOrder implements engine.Link: an order stands even if its connection ends, so there is nobody to tell.
+// CancelLoadOrder implements engine.Link. It does nothing: a load order stays valid after its connection has closed, so
+// the worker can't be notified.
 func (l *Link) CancelLoadOrder(engine.OrderID) {}
 
 // OrderLoad implements engine.Link.
-func (l *Link) OrderLoad(id engine.OrderID, function string, _ engine.FunctionSpec, copies int, by router.Time) {
-	b := append(append([]byte("PUT "+path), function...), '/')
-	b = append(l.host(strconv.AppendInt(b, int64(copies), 10)), "\r\n\r\n"...)
-	l.start("order of "+function, b, l.s.o.OrderTimeout, by, func(e end) {
-		if e.err != nil {
-			l.s.engine.LoadOrderEnded(id, e.outcome(), 0)
+func (l *Link) OrderLoad(id engine.OrderID, function string, _ engine.FunctionSpec, copies int, startBy router.Time) {
+	b := append(append([]byte("PUT "+rpcPath), function...), '/')
+	b = append(l.appendHost(strconv.AppendInt(b, int64(copies), 10)), "\r\n\r\n"...)
+	l.start("order of "+function, b, l.set.options.OrderTimeout, startBy, func(res result) {
+		if res.err != nil {
+			l.set.engine.LoadOrderEnded(id, res.outcome(), 0)
 			return
 		}
-		n, err := strconv.Atoi(e.Header.Get("X-Slots-Up"))
+		n, err := strconv.Atoi(res.Header.Get("X-Slots-Up"))
 		if err != nil || n < 0 || n > math.MaxInt16 {
 			n = 0
 		}
-		o, _ := answered(e)
-		l.s.engine.LoadOrderEnded(id, o, n)
+		o, _ := parseOutcome(res)
+		l.set.engine.LoadOrderEnded(id, o, n)
 	})
 }
 
 // Check implements engine.Link.
 func (l *Link) Check(id engine.CheckID) {
-	b := append(l.host([]byte("GET /-/gauges")), "\r\n\r\n"...)
-	l.start("check", b, l.s.o.ConnectTimeout, math.MaxInt64, func(e end) {
+	b := append(l.appendHost([]byte("GET /-/gauges")), "\r\n\r\n"...)
+	l.start("check", b, l.set.options.ConnectTimeout, math.MaxInt64, func(res result) {
 		switch {
-		case e.err != nil:
-			l.s.engine.CheckEnded(id, e.outcome(), nil)
-		case e.Status != http.StatusOK:
-			l.s.engine.CheckEnded(id, router.Errored, nil)
+		case res.err != nil:
+			l.set.engine.CheckEnded(id, res.outcome(), nil)
+		case res.Status != http.StatusOK:
+			l.set.engine.CheckEnded(id, router.Errored, nil)
 		default:
-			l.s.engine.CheckEnded(id, router.OK, l.s.report(e.Header.Get("X-Meter")))
+			l.set.engine.CheckEnded(id, router.OK, l.set.parseReport(res.Header.Get("X-Meter")))
 		}
 	})
 }
--- a/internal/httplink/httplink_test.go
+++ b/internal/httplink/httplink_test.go
@@ -19,32 +19,33 @@
 	"mallowlanding/router"
 )
 
-const patience = 5 * time.Second
+const testTimeout = 5 * time.Second
 
-// machine has nothing but turns.
-type machine struct{}
+// noopHandler is an event loop handler that does nothing.
+type noopHandler struct{}
 
-func (machine) BeginTurn(router.Time)        {}
-func (machine) EndTurn()                     {}
-func (machine) NextDue() (router.Time, bool) { return 0, false }
+func (noopHandler) BeginTurn(router.Time)        {}
+func (noopHandler) EndTurn()                     {}
+func (noopHandler) NextDue() (router.Time, bool) { return 0, false }
 
-// rig is a set with one link, a worker that counts what comes whole, and a gate that connections come up behind.
-type rig struct {
-	t    *testing.T
-	s    *LinkSet
-	loop *eventloop.Loop
-	l    net.Listener
-	came chan string // a message's verb and path; "" for a connection that ended with nothing on it
-	up   chan bool   // one waits at the gate
-	gate chan bool
+// fixture is a LinkSet with one link, to a worker that records the requests it receives completely. Dial returns each
+// new connection only once the test opens the gate for it.
+type fixture struct {
+	t        *testing.T
+	set      *LinkSet
+	loop     *eventloop.Loop
+	l        net.Listener
+	requests chan string // method and path of each request; "" for a connection that ended without one
+	dialled  chan bool   // a connection is established and waits at the gate
+	gate     chan bool
 }
 
-func newRig(t *testing.T) *rig {
+func newFixture(t *testing.T) *fixture {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, l: l, loop: eventloop.NewLoop(), came: make(chan string, 16), up: make(chan bool, 16), gate: make(chan bool, 16)}
+	r := &fixture{t: t, l: l, loop: eventloop.NewLoop(), requests: make(chan string, 16), dialled: make(chan bool, 16), gate: make(chan bool, 16)}
 	go func() {
 		for {
 			nc, err := l.Accept()
@@ -54,68 +55,68 @@
 			go func() {
 				defer nc.Close()
 				for in, first := bufio.NewReader(nc), true; ; first = false {
-					head, err := http.ReadRequest(in)
+					req, err := http.ReadRequest(in)
 					if err != nil {
 						if first {
-							r.came <- ""
+							r.requests <- ""
 						}
 						return
 					}
-					r.came <- head.Method + " " + head.RequestURI
+					r.requests <- req.Method + " " + req.RequestURI
 					_, _ = io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nX-Slots-Up: 1\r\n\r\n")
 				}
 			}()
 		}
 	}()
 	e := engine.New(engine.Options{Settings: router.Settings{}, Now: r.loop.Now(), Log: func(string) {}})
-	r.s = New(r.loop, e, Options{ConnectTimeout: patience, OrderTimeout: patience, IdleTimeout: patience, MaxConnections: 8,
+	r.set = New(r.loop, e, Options{ConnectTimeout: testTimeout, OrderTimeout: testTimeout, IdleTimeout: testTimeout, MaxConnections: 8,
 		Dialer: r, Log: zerolog.Nop()})
 	ctx, stop := context.WithCancel(context.Background())
-	over := make(chan bool)
-	go func() { r.loop.Run(ctx, machine{}); close(over) }()
-	t.Cleanup(func() { stop(); <-over; l.Close() })
-	r.turn(func() { r.s.Add("w", l.Addr().String(), 1) })
+	done := make(chan bool)
+	go func() { r.loop.Run(ctx, noopHandler{}); close(done) }()
+	t.Cleanup(func() { stop(); <-done; l.Close() })
+	r.inTurn(func() { r.set.Add("w", l.Addr().String(), 1) })
 	return r
 }
 
-// Dial implements Dialer: the connection is up, and the front end hears of it once the gate opens.
-func (r *rig) Dial(ctx context.Context, address string, within time.Duration) (*httpconn.Conn, error) {
+// Dial implements Dialer. It establishes the connection at once and returns it when the gate opens.
+func (r *fixture) Dial(ctx context.Context, address string, within time.Duration) (*httpconn.Conn, error) {
 	conn, err := httpconn.Dial(context.WithoutCancel(ctx), address, within)
-	r.up <- true
+	r.dialled <- true
 	<-r.gate
 	return conn, err
 }
 
-// turn has f done in a turn, and waits for it.
-func (r *rig) turn(f func()) {
+// inTurn runs f in a turn of the event loop and waits for it.
+func (r *fixture) inTurn(f func()) {
 	done := make(chan bool)
 	r.loop.Post(func() { f(); close(done) })
 	<-done
 }
 
-// message starts one and tells how it ends.
-func (r *rig) message(within time.Duration) (x *exchange, ended chan end) {
-	ended = make(chan end, 1)
-	r.turn(func() {
-		x = r.s.links["w"].start("message", []byte("PUT /v2/q/f/1 HTTP/1.1\r\nHost: w\r\n\r\n"), within, math.MaxInt64,
-			func(e end) { ended <- e })
+// startMessage starts an exchange; its result arrives on the channel.
+func (r *fixture) startMessage(timeout time.Duration) (x *exchange, ended chan result) {
+	ended = make(chan result, 1)
+	r.inTurn(func() {
+		x = r.set.links["w"].start("message", []byte("PUT /v2/q/f/1 HTTP/1.1\r\nHost: w\r\n\r\n"), timeout, math.MaxInt64,
+			func(e result) { ended <- e })
 	})
 	return x, ended
 }
 
-func (r *rig) sees(want string) {
+func (r *fixture) expectRequest(want string) {
 	r.t.Helper()
 	select {
-	case got := <-r.came:
+	case got := <-r.requests:
 		if got != want {
-			r.t.Fatalf("the worker saw %q, want %q", got, want)
+			r.t.Fatalf("the worker received %q, want %q", got, want)
 		}
-	case <-time.After(patience):
-		r.t.Fatalf("the worker saw nothing, want %q", want)
+	case <-time.After(testTimeout):
+		r.t.Fatalf("the worker received nothing, want %q", want)
 	}
 }
 
-func (r *rig) ends(ended chan end, want router.Outcome) {
+func (r *fixture) expectOutcome(ended chan result, want router.Outcome) {
 	r.t.Helper()
 	select {
 	case e := <-ended:
@@ -124,77 +125,77 @@
 			got = e.outcome()
 		}
 		if got != want {
-			r.t.Fatalf("it ended with %d, want %d: %v", got, want, e.err)
+			r.t.Fatalf("the exchange ended with outcome %d, want %d: %v", got, want, e.err)
 		}
-	case <-time.After(patience):
-		r.t.Fatal("it did not end")
+	case <-time.After(testTimeout):
+		r.t.Fatal("the exchange did not end")
 	}
 }
 
-// goes: the connection that waits at the gate comes up, and the message goes out on it and is answered.
-func (r *rig) goes(ended chan end) {
+// expectSent lets the connection at the gate through and expects that the message is sent on it and answered.
+func (r *fixture) expectSent(ended chan result) {
 	r.t.Helper()
-	<-r.up
+	<-r.dialled
 	r.gate <- true
-	r.sees("PUT /v2/q/f/1")
-	r.ends(ended, router.OK)
+	r.expectRequest("PUT /v2/q/f/1")
+	r.expectOutcome(ended, router.OK)
 }
 
-// nothingGoes: it comes up too late, and carries nothing.
-func (r *rig) nothingGoes(ended chan end) {
+// expectNothingSent lets the connection at the gate through and expects that nothing is sent on it.
+func (r *fixture) expectNothingSent(ended chan result) {
 	r.t.Helper()
 	r.gate <- true
-	r.sees("")
-	r.ends(ended, router.Full)
-	r.counted(0)
+	r.expectRequest("")
+	r.expectOutcome(ended, router.Full)
+	r.expectConnCount(0)
 }
 
-// counted: no connection is counted that has ended, and none that stands is not.
-func (r *rig) counted(want int) {
+// expectConnCount checks the number of connections that the set counts, and that no exchange is left.
+func (r *fixture) expectConnCount(want int) {
 	r.t.Helper()
-	r.turn(func() {
-		if r.s.conns != want || len(r.s.links) > 0 && len(r.s.links["w"].all) > 0 {
-			r.t.Errorf("%d connections are counted, want %d", r.s.conns, want)
+	r.inTurn(func() {
+		if r.set.connCount != want || len(r.set.links) > 0 && len(r.set.links["w"].exchanges) > 0 {
+			r.t.Errorf("%d connections counted, want %d, or an exchange has not ended", r.set.connCount, want)
 		}
 	})
 }
 
-// TestUnwantAgainstDial: whatever kind of message waits for its connection, an order or a check as well, it is not sent
-// once the worker is wanted no more; what was sent before that is answered.
-func TestUnwantAgainstDial(t *testing.T) {
-	r := newRig(t)
-	_, ended := r.message(patience)
-	<-r.up
-	r.turn(func() { r.s.Remove("w") })
-	r.nothingGoes(ended)
+// TestRemoveDuringDial checks that a message that waits for its connection, whether call-out, order or check, is not
+// sent once the link has been removed, and that one that was sent before is still answered.
+func TestRemoveDuringDial(t *testing.T) {
+	r := newFixture(t)
+	_, ended := r.startMessage(testTimeout)
+	<-r.dialled
+	r.inTurn(func() { r.set.Remove("w") })
+	r.expectNothingSent(ended)
 
-	r = newRig(t)
-	_, ended = r.message(patience)
-	<-r.up
+	r = newFixture(t)
+	_, ended = r.startMessage(testTimeout)
+	<-r.dialled
 	r.gate <- true
-	r.sees("PUT /v2/q/f/1")
-	r.turn(func() { r.s.Remove("w") })
-	r.ends(ended, router.OK)
-	r.counted(0)
+	r.expectRequest("PUT /v2/q/f/1")
+	r.inTurn(func() { r.set.Remove("w") })
+	r.expectOutcome(ended, router.OK)
+	r.expectConnCount(0)
 }
 
-// TestUnwantEndsTheDial: it does not run on to its time-out.
-func TestUnwantEndsTheDial(t *testing.T) {
-	r := newRig(t)
-	r.turn(func() {
-		o := r.s.o
+// TestRemoveCancelsDial checks that removing a link cancels its dials, which otherwise run on to their timeout.
+func TestRemoveCancelsDial(t *testing.T) {
+	r := newFixture(t)
+	r.inTurn(func() {
+		o := r.set.options
 		o.Dialer = dialFunc(func(ctx context.Context, _ string, _ time.Duration) (*httpconn.Conn, error) {
-			r.up <- true
+			r.dialled <- true
 			<-ctx.Done()
 			return nil, ctx.Err()
 		})
-		r.s.UpdateSettings(o)
+		r.set.UpdateSettings(o)
 	})
-	_, ended := r.message(time.Hour)
-	<-r.up
-	r.turn(func() { r.s.Remove("w") })
-	r.ends(ended, router.Full)
-	r.counted(0)
+	_, ended := r.startMessage(time.Hour)
+	<-r.dialled
+	r.inTurn(func() { r.set.Remove("w") })
+	r.expectOutcome(ended, router.Full)
+	r.expectConnCount(0)
 }
 
 type dialFunc func(ctx context.Context, address string, within time.Duration) (*httpconn.Conn, error)
@@ -204,77 +205,78 @@
 	return f(ctx, address, within)
 }
 
-// TestGiveUpAgainstDial: given up first, nothing is sent, and that tells nothing of the worker.
-func TestGiveUpAgainstDial(t *testing.T) {
-	r := newRig(t)
-	x, ended := r.message(patience)
-	<-r.up
-	r.turn(x.giveUp)
-	r.nothingGoes(ended)
+// TestStopDuringDial checks that a message that is cancelled before its connection is established is never sent, and
+// that the outcome does not count against the worker.
+func TestStopDuringDial(t *testing.T) {
+	r := newFixture(t)
+	x, ended := r.startMessage(testTimeout)
+	<-r.dialled
+	r.inTurn(x.stop)
+	r.expectNothingSent(ended)
 }
 
-// TestTimeUpAgainstDial: a connection that comes up after the message's time carries nothing.
-func TestTimeUpAgainstDial(t *testing.T) {
-	r := newRig(t)
-	x, ended := r.message(20 * time.Millisecond)
-	<-r.up
-	time.Sleep(time.Until(x.by)) // the order is chosen: the gate opens after it
-	r.nothingGoes(ended)
+// TestDeadlineDuringDial checks that nothing is sent on a connection established after the message's deadline.
+func TestDeadlineDuringDial(t *testing.T) {
+	r := newFixture(t)
+	x, ended := r.startMessage(20 * time.Millisecond)
+	<-r.dialled
+	time.Sleep(time.Until(x.deadline)) // the gate opens only after the deadline
+	r.expectNothingSent(ended)
 }
 
-// TestRest: a used connection is used again once it has rested, and not before.
-func TestRest(t *testing.T) {
-	r := newRig(t)
-	_, ended := r.message(patience)
-	r.goes(ended)
+// TestConnReuseDelay checks that a connection is reused once reuseDelay has passed since its last response, not earlier.
+func TestConnReuseDelay(t *testing.T) {
+	r := newFixture(t)
+	_, ended := r.startMessage(testTimeout)
+	r.expectSent(ended)
 	var was *httpconn.Conn
-	r.turn(func() {
-		l := r.s.links["w"]
+	r.inTurn(func() {
+		l := r.set.links["w"]
 		was = l.idle[0].conn
-		l.idle[0].since = time.Now().Add(-rest)
+		l.idle[0].since = time.Now().Add(-reuseDelay)
 	})
-	_, ended = r.message(patience) // rested: used again, no dial
-	r.sees("PUT /v2/q/f/1")
-	r.ends(ended, router.OK)
-	r.turn(func() {
-		if l := r.s.links["w"]; len(l.idle) != 1 || l.idle[0].conn != was {
-			t.Error("a connection that had rested was not used again")
+	_, ended = r.startMessage(testTimeout) // delay over: reused, no dial
+	r.expectRequest("PUT /v2/q/f/1")
+	r.expectOutcome(ended, router.OK)
+	r.inTurn(func() {
+		if l := r.set.links["w"]; len(l.idle) != 1 || l.idle[0].conn != was {
+			t.Error("an idle connection was not reused after the delay")
 		}
 	})
-	_, ended = r.message(patience) // not rested: a new one
-	r.goes(ended)
-	r.counted(2)
+	_, ended = r.startMessage(testTimeout) // delay not over: a new connection
+	r.expectSent(ended)
+	r.expectConnCount(2)
 }
 
-// TestFewerConnections: bounds that shrink have idle connections make way.
-func TestFewerConnections(t *testing.T) {
-	r := newRig(t)
+// TestLowerConnectionLimit checks that idle connections are closed when the limit has been lowered below their number.
+func TestLowerConnectionLimit(t *testing.T) {
+	r := newFixture(t)
 	for range 3 {
-		_, ended := r.message(patience)
-		r.goes(ended)
+		_, ended := r.startMessage(testTimeout)
+		r.expectSent(ended)
 	}
-	r.counted(3)
-	r.turn(func() {
-		o := r.s.o
+	r.expectConnCount(3)
+	r.inTurn(func() {
+		o := r.set.options
 		o.MaxConnections = 2
-		r.s.UpdateSettings(o)
+		r.set.UpdateSettings(o)
 	})
-	_, ended := r.message(patience)
-	r.goes(ended)
-	r.counted(2)
+	_, ended := r.startMessage(testTimeout)
+	r.expectSent(ended)
+	r.expectConnCount(2)
 }
 
-// TestOutcomes: what an end without an answer proves.
-func TestOutcomes(t *testing.T) {
+// TestOutcomeOfError checks the outcome that is reported for each kind of error.
+func TestOutcomeOfError(t *testing.T) {
 	for _, c := range []struct {
-		e    end
+		e    result
 		want router.Outcome
 	}{
-		{end{err: httpconn.ErrNotSent, local: true}, router.Full},
-		{end{err: errors.Join(httpconn.ErrNotSent, context.DeadlineExceeded)}, router.ConnectFailed},
-		{end{err: httpconn.ErrBadAnswer}, router.Reset},
-		{end{err: io.EOF}, router.Reset},
-		{end{err: net.ErrClosed}, router.Cancelled},
+		{result{err: httpconn.ErrNotSent, local: true}, router.Full},
+		{result{err: errors.Join(httpconn.ErrNotSent, context.DeadlineExceeded)}, router.ConnectFailed},
+		{result{err: httpconn.ErrBadAnswer}, router.Reset},
+		{result{err: io.EOF}, router.Reset},
+		{result{err: net.ErrClosed}, router.Cancelled},
 	} {
 		if got := c.e.outcome(); got != c.want {
 			t.Errorf("%v: %d, want %d", c.e.err, got, c.want)
@@ -282,55 +284,55 @@
 	}
 }
 
-// TestTooLateToBegin: a message whose connection comes up after the last moment at which it may begin is never sent; one
-// that is still in time is.
-func TestTooLateToBegin(t *testing.T) {
-	r := newRig(t)
-	begin := func(by router.Time) chan end {
-		ended := make(chan end, 1)
-		r.turn(func() {
-			r.s.links["w"].start("message", []byte("PUT /v2/q/f/1 HTTP/1.1\r\nHost: w\r\n\r\n"), patience, by,
-				func(e end) { ended <- e })
+// TestNotSentAfterStartBy checks that a message is not sent if its connection is established after startBy, and is sent
+// if that happens earlier.
+func TestNotSentAfterStartBy(t *testing.T) {
+	r := newFixture(t)
+	start := func(startBy router.Time) chan result {
+		ended := make(chan result, 1)
+		r.inTurn(func() {
+			r.set.links["w"].start("message", []byte("PUT /v2/q/f/1 HTTP/1.1\r\nHost: w\r\n\r\n"), testTimeout, startBy,
+				func(e result) { ended <- e })
 		})
 		return ended
 	}
-	late := begin(r.loop.Now() + eventloop.FromDuration(20*time.Millisecond))
-	<-r.up
+	late := start(r.loop.Now() + eventloop.FromDuration(20*time.Millisecond))
+	<-r.dialled
 	time.Sleep(30 * time.Millisecond)
 	r.gate <- true
-	r.ends(late, router.NotSent)
-	r.sees("")
-	inTime := begin(r.loop.Now() + eventloop.FromDuration(patience))
-	<-r.up
+	r.expectOutcome(late, router.NotSent)
+	r.expectRequest("")
+	inTime := start(r.loop.Now() + eventloop.FromDuration(testTimeout))
+	<-r.dialled
 	r.gate <- true
-	r.sees("PUT /v2/q/f/1")
-	r.ends(inTime, router.OK)
+	r.expectRequest("PUT /v2/q/f/1")
+	r.expectOutcome(inTime, router.OK)
 }
 
-// TestNothingBeginsAcrossAPause: what was decided before the process stood still never begins, whether the loop has had a
-// turn since or not: what the list of workers told meanwhile may not be known yet.
-func TestNothingBeginsAcrossAPause(t *testing.T) {
-	const pauseMost = 50 * time.Millisecond
+// TestNotSentAfterPause checks that a message that was decided on before a pause of the process is not sent, whether or
+// not the event loop has had a turn since: changes of the worker list may not have been received yet.
+func TestNotSentAfterPause(t *testing.T) {
+	const maxPause = 50 * time.Millisecond
 	for _, turned := range []bool{false, true} {
-		r := newRig(t)
-		r.turn(func() {
-			o := r.s.o
-			o.MaxPause = pauseMost
-			r.s.UpdateSettings(o)
-			r.s.BeginTurn()
+		r := newFixture(t)
+		r.inTurn(func() {
+			o := r.set.options
+			o.MaxPause = maxPause
+			r.set.UpdateSettings(o)
+			r.set.BeginTurn()
 		})
-		ended := make(chan end, 1)
-		r.turn(func() {
-			r.s.links["w"].start("message", []byte("PUT /v2/q/f/1 HTTP/1.1\r\nHost: w\r\n\r\n"), patience, r.loop.Now()+eventloop.FromDuration(patience),
-				func(e end) { ended <- e })
+		ended := make(chan result, 1)
+		r.inTurn(func() {
+			r.set.links["w"].start("message", []byte("PUT /v2/q/f/1 HTTP/1.1\r\nHost: w\r\n\r\n"), testTimeout, r.loop.Now()+eventloop.FromDuration(testTimeout),
+				func(e result) { ended <- e })
 		})
-		<-r.up
-		time.Sleep(2 * pauseMost) // no turn of the loop calls Begin here: the process might as well stand still
+		<-r.dialled
+		time.Sleep(2 * maxPause) // no turn calls BeginTurn meanwhile, which looks like a pause of the process
 		if turned {
-			r.turn(r.s.BeginTurn)
+			r.inTurn(r.set.BeginTurn)
 		}
 		r.gate <- true
-		r.ends(ended, router.NotSent)
-		r.sees("")
+		r.expectOutcome(ended, router.NotSent)
+		r.expectRequest("")
 	}
 }
