--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -1,5 +1,6 @@
-// Package feed follows the platform's journal service: numbered events that tell how the list of workers changes. An
-// answer counts once it was read whole and is valid; the number of the last event that counted is asked from.
+// Package feed follows the platform's journal service, which reports the changes of the worker list as numbered events.
+// A response is applied once it has been read completely and is valid. Each request asks for the events after the last
+// one that was applied.
 package feed
 
 import (
@@ -20,78 +21,78 @@
 	"mallowlanding/router"
 )
 
-// What the service would have told counts as told so long after it can no longer be reached, after a reload that names
-// another service, after it breaks off in the middle of an answer, and after the wait that it was asked for where it
-// says nothing: the protocol's figures. They run on until an ask that begins later is answered.
+// Set by the protocol: after these times a front end is taken to have received the changes that the service knew of,
+// even if it has not. The times run until a request that is sent later is answered.
 const (
-	SilenceExpiry = 7 * time.Second
-	ReloadExpiry  = 4 * time.Second
-	breakClock    = 2 * time.Second
-	waitClock     = 2 * time.Second
+	SilenceExpiry = 7 * time.Second // after the service has become unreachable
+	ReloadExpiry  = 4 * time.Second // after a reload that names another service
+	breakExpiry   = 2 * time.Second // after a response that broke off
+	waitExpiry    = 2 * time.Second // after the requested wait, if there is no response
 )
 
 const (
-	wait      = time.Second      // how long the service may hold an ask; silence is noticed soon after
-	waitFirst = time.Millisecond // the same where the list is not confirmed: what is known then counts, not what will come
-	// For a connection, and for an answer's way beyond the wait; doubling while answers are late: a service that is slow
-	// each time must get through at last. What a silent service has to tell counts as told 2 s after the wait.
-	slackMin  = 300 * time.Millisecond
-	slackMost = 4 * slackMin
-	pauseMin  = 10 * time.Millisecond  // before asking again after a break, doubling
-	pauseMost = 200 * time.Millisecond // last one
-	bodyMost  = 4 << 20                // of one answer
-	gapsMost  = 2                      // times that a gap in the numbers is asked about
+	maxWait            = time.Second      // the service may delay a response by this; a silent one is noticed soon after
+	unconfirmedMaxWait = time.Millisecond // the same while the list is unconfirmed: its current state is needed at once
+	// Time to connect, and time for a response beyond the requested wait. It doubles while responses are late, so that
+	// a service that is always slow gets through in the end. It stays below waitExpiry, which runs from the end of the
+	// wait.
+	minSlack      = 300 * time.Millisecond
+	maxSlack      = 4 * minSlack
+	minPause      = 10 * time.Millisecond  // before the first retry after a failure; doubles with each further one
+	maxPause      = 200 * time.Millisecond // upper limit of the pause
+	maxBody       = 4 << 20                // bytes of one response
+	maxGapRetries = 2                      // requests for a full replay after a gap in the event numbers
 )
 
-// Worker is an entry of an event, as it goes to the list.
+// Worker is the state of one worker in an event.
 type Worker struct {
 	Name, Address string
 	State         router.Readiness
-	StartedMs     int64 // Unix; 0: long ago
+	StartedMs     int64 // Unix time in ms; 0: long ago
 	Zone, Kind    string
 	Cell          int
 }
 
-// Event is one change of the list of workers, or a whole list.
+// Event holds changes of the worker list, or a full list.
 type Event struct {
-	Form    router.ListUpdate
+	Update  router.ListUpdate
 	Pos     uint64
 	Workers []Worker
 }
 
-// EventHandler takes over what one answer told: events that are whole and valid alone, in their order, or none. With them the list
-// is whole and true as of a time; the zero time: nobody knows as of when. It is called from one goroutine at a time.
+// EventHandler applies the events of one response, in order; there may be none. With them the list is complete and
+// correct as of the time asOf, or as of an unknown time if asOf is zero. Calls do not overlap.
 type EventHandler func(events []Event, asOf time.Time)
 
-// ExpiryHandler tells that what the service knew at a time counts as told by another one, unless an ask that begins after the
-// first is answered.
+// ExpiryHandler is called when the front end counts as informed, from the time by on, of all that the service knew at
+// the time since, unless a request that is sent after since is answered.
 type ExpiryHandler func(since, by time.Time)
 
-// Feed follows one journal service after the other.
+// Feed follows a journal service, whose address may change.
 type Feed struct {
-	list  EventHandler
-	lapse ExpiryHandler
-	log   zerolog.Logger
-	pos   uint64 // the last event that counted
-	gaps  int    // answers in a row that left events out
-	// Events were left out for good: what they told is not known, until a whole list comes.
-	incomplete bool
-	answers    bool // the service at the address answered the last ask
+	onEvents EventHandler
+	onExpiry ExpiryHandler
+	log      zerolog.Logger
+	lastPos  uint64 // number of the last event that was applied
+	gaps     int    // consecutive responses with a gap in the event numbers
+	// Events are missing for good, so the list is incomplete until a full one arrives.
+	incomplete    bool
+	lastRequestOK bool // the last request to the service at the address was answered
 
 	slack time.Duration
 
-	mu      sync.Mutex
-	address string
-	conn    *httpconn.Conn
-	again   bool // the ask that is out is given up for a new one
+	mu       sync.Mutex
+	address  string
+	conn     *httpconn.Conn
+	askAgain bool // the request in flight is dropped for a new one
 }
 
-// New follows the service at an address once it runs.
-func New(address string, list EventHandler, lapse ExpiryHandler, log zerolog.Logger) *Feed {
-	return &Feed{address: address, list: list, lapse: lapse, log: log, slack: slackMin}
+// New returns a Feed that follows the service at the address once Run is called.
+func New(address string, onEvents EventHandler, onExpiry ExpiryHandler, log zerolog.Logger) *Feed {
+	return &Feed{address: address, onEvents: onEvents, onExpiry: onExpiry, log: log, slack: minSlack}
 }
 
-// SetAddress follows the service at another address from now on; the numbers go on.
+// SetAddress follows the service at another address from now on. The numbering of events continues.
 func (f *Feed) SetAddress(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -112,136 +113,137 @@
 	}
 }
 
-// AskAgain gives up the ask that is out and asks anew: an answer on its way may be older than one asked for now.
+// AskAgain drops the request in flight and sends a new one: its response may be older than one that is requested now.
 func (f *Feed) AskAgain() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.again = true; f.conn != nil {
+	if f.askAgain = true; f.conn != nil {
 		f.conn.Close()
 	}
 }
 
-// refreshed tells whether a new ask is wanted since the last time that it was asked.
-func (f *Feed) refreshed() bool {
+// takeAskAgain reports whether AskAgain has been called since the last call of takeAskAgain.
+func (f *Feed) takeAskAgain() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	was := f.again
-	f.again = false
-	return was
+	requested := f.askAgain
+	f.askAgain = false
+	return requested
 }
 
-// Run asks until the context ends.
+// Run sends requests until the context ends.
 func (f *Feed) Run(ctx context.Context) {
 	stop := context.AfterFunc(ctx, f.closeConn)
-	defer f.closeConn() // one that was made while the context ended
+	defer f.closeConn() // closes a connection opened while the context ended
 	defer stop()
-	pause := pauseMin
-	outage := outage{log: f.log, answered: time.Now()}
+	pause := minPause
+	outage := outage{log: f.log, lastAnsweredAt: time.Now()}
 	for ctx.Err() == nil {
 		began := time.Now()
-		err := f.ask(ctx)
+		err := f.request(ctx)
 		if err == nil {
-			outage.over(began, f.pos)
-			pause = pauseMin
+			outage.requestSucceeded(began, f.lastPos)
+			pause = minPause
 			continue
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		outage.failed(err, f.pos)
+		outage.requestFailed(err, f.lastPos)
 		select {
 		case <-ctx.Done():
 		case <-time.After(pause):
 		}
-		pause = min(2*pause, pauseMost)
+		pause = min(2*pause, maxPause)
 	}
 }
 
-// ask has one answer taken over.
-func (f *Feed) ask(ctx context.Context) error {
-	if f.refreshed() {
-		f.answers = false
+// request sends one request and applies its response.
+func (f *Feed) request(ctx context.Context) error {
+	if f.takeAskAgain() {
+		f.lastRequestOK = false
 	}
 	f.mu.Lock()
 	conn, address := f.conn, f.address
 	f.mu.Unlock()
 	if conn != nil && !conn.Reusable() {
-		f.drop(conn)
+		f.dropConn(conn)
 		conn = nil
 	}
 	if conn == nil {
 		var err error
-		if conn, err = httpconn.Dial(ctx, address, slackMin); err != nil {
+		if conn, err = httpconn.Dial(ctx, address, minSlack); err != nil {
 			return err
 		}
 		f.mu.Lock()
 		f.conn = conn
 		f.mu.Unlock()
 		if f.moved(address) {
-			f.drop(conn)
+			f.dropConn(conn)
 			return nil
 		}
 	}
-	tail := f.pos
-	if f.gaps > 0 { // what was left out is told again with all that came before it
-		tail = 0
+	fromPos := f.lastPos
+	if f.gaps > 0 { // request a replay from the start, to fill the gap
+		fromPos = 0
 	}
-	b := strconv.AppendUint([]byte("GET /journal?tail="), tail, 10)
-	hold := wait
-	if !f.answers {
-		hold = waitFirst
+	b := strconv.AppendUint([]byte("GET /journal?tail="), fromPos, 10)
+	requestWait := maxWait
+	if !f.lastRequestOK {
+		requestWait = unconfirmedMaxWait
 	}
-	b = strconv.AppendInt(append(b, "&max_wait="...), hold.Milliseconds(), 10)
+	b = strconv.AppendInt(append(b, "&max_wait="...), requestWait.Milliseconds(), 10)
 	b = append(append(append(b, " HTTP/1.1\r\nHost: "...), address...), "\r\n\r\n"...)
 	began := time.Now()
-	a, again, err := conn.Exchange(b, began.Add(wait+f.slack), bodyMost)
+	a, reusable, err := conn.Exchange(b, began.Add(maxWait+f.slack), maxBody)
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		f.slack = min(2*f.slack, slackMost)
-		f.lapse(time.Now(), began.Add(hold+waitClock))
+		f.slack = min(2*f.slack, maxSlack)
+		f.onExpiry(time.Now(), began.Add(requestWait+waitExpiry))
 	case errors.Is(err, httpconn.ErrBadAnswer):
-		f.lapse(time.Now(), time.Now().Add(breakClock))
+		f.onExpiry(time.Now(), time.Now().Add(breakExpiry))
 	case err == nil:
-		f.slack = slackMin
+		f.slack = minSlack
 	}
-	was := f.pos
+	posBefore := f.lastPos
 	if err == nil {
-		err = f.answered(address, a, began)
+		err = f.handleResponse(address, a, began)
 	}
-	f.answers = err == nil
-	if err != nil || !again {
-		f.drop(conn)
+	f.lastRequestOK = err == nil
+	if err != nil || !reusable {
+		f.dropConn(conn)
 	}
-	if f.moved(address) || err != nil && f.refreshed() { // that we broke off tells nothing of the service
-		f.answers = false
+	if f.moved(address) || err != nil && f.takeAskAgain() { // the feed broke off itself, so the service is not at fault
+		f.lastRequestOK = false
 		return nil
 	}
-	if err == nil && f.pos == was && hold == wait && time.Since(began) < wait/2 { // it does not hold asks: don't ask all the time
-		time.Sleep(pauseMin)
+	// Don't request in a tight loop if the service answers at once instead of waiting for events.
+	if err == nil && f.lastPos == posBefore && requestWait == maxWait && time.Since(began) < maxWait/2 {
+		time.Sleep(minPause)
 	}
 	return err
 }
 
-// answered takes over an answer of the service at an address. Once another is followed it doesn't count, though it was
-// read whole: the new one tells it again.
-func (f *Feed) answered(address string, a httpconn.Answer, asked time.Time) error {
+// handleResponse applies a response of the service at the address. It ignores the response if the address has changed:
+// the new service reports the same events.
+func (f *Feed) handleResponse(address string, a httpconn.Answer, askedAt time.Time) error {
 	switch {
 	case f.moved(address):
-		return errors.New("the service has moved")
+		return errors.New("the journal service's address has changed")
 	case a.Status != http.StatusOK:
 		return fmt.Errorf("status %d", a.Status)
 	}
-	return f.Apply(a.Body, asked)
+	return f.Apply(a.Body, askedAt)
 }
 
-// moved tells whether another service is followed by now than that at an address.
+// moved reports whether the feed no longer follows the service at the address.
 func (f *Feed) moved(address string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.address != address
 }
 
-func (f *Feed) drop(conn *httpconn.Conn) {
+func (f *Feed) dropConn(conn *httpconn.Conn) {
 	conn.Close()
 	f.mu.Lock()
 	if f.conn == conn {
@@ -250,91 +252,92 @@
 	f.mu.Unlock()
 }
 
-// Apply takes over what an answer, or the configuration, tells: nothing of it where it is not valid as a whole. What
-// is known by its number is passed over. After a gap in the numbers all was asked for anew: then all of it counts as one
-// whole list, and if the gap is there still, what comes behind it counts, too: a drain told there is better known.
+// Apply applies the events of a response or of the configuration, or none of them if one is invalid. It skips events
+// with known numbers. After a gap in the numbers the feed requests all events again and merges them into a single one.
+// If the gap remains after the last retry, the events behind it are applied all the same: they may report a drain.
 //
-// An answer confirms the list as of when it was asked for: what it says it knew at some time after that, and nobody can
-// tell when. It confirms nothing where the service knows of other events than we do then, or events are missing. Asked is
-// the zero time where nobody can tell when the text was true, as of the configuration's.
-func (f *Feed) Apply(text []byte, asked time.Time) error {
-	var all map[string]any
-	if err := json.Unmarshal(text, &all); err != nil {
+// A response confirms the list as of the time of its request, askedAt: the service produced it at some unknown time
+// after that. It confirms nothing if the service knows of other events than the feed, or if events are missing. askedAt
+// is zero if nobody knows when the text was correct, as for the configuration's events.
+func (f *Feed) Apply(text []byte, askedAt time.Time) error {
+	var response map[string]any
+	if err := json.Unmarshal(text, &response); err != nil {
 		return fmt.Errorf("journal: %w", err)
 	}
-	entries, is := all["entries"].([]any)
-	if !is {
+	entries, ok := response["entries"].([]any)
+	if !ok {
 		return fmt.Errorf(`journal: "entries" is missing`)
 	}
-	anew := f.gaps > 0
+	replay := f.gaps > 0
 	var events []Event
 	incomplete := f.incomplete
-	last := f.pos
-	if anew {
+	last := f.lastPos
+	if replay {
 		last = 0
 	}
 	for i, e := range entries {
 		entry, _ := e.(map[string]any)
-		pos, is := entry["pos"].(float64)
-		if !is || pos < 1 || pos != math.Trunc(pos) || pos > 1<<53 {
+		pos, ok := entry["pos"].(float64)
+		if !ok || pos < 1 || pos != math.Trunc(pos) || pos > 1<<53 {
 			return fmt.Errorf(`journal: entry %d: "pos" is missing`, i)
 		}
 		if uint64(pos) <= last {
 			continue
 		}
-		hosts, is := entry["hosts"].(map[string]any)
-		if !is { // of another kind than ours
+		hosts, ok := entry["hosts"].(map[string]any)
+		if !ok { // not an event of the worker list
 			last = uint64(pos)
 			continue
 		}
-		form := router.ListChanges
-		if whole, _ := hosts["reset"].(bool); whole {
-			form, incomplete = router.ListComplete, false
+		update := router.ListChanges
+		if reset, _ := hosts["reset"].(bool); reset {
+			update, incomplete = router.ListComplete, false
 		} else if uint64(pos) != last+1 {
-			if f.gaps < gapsMost {
+			if f.gaps < maxGapRetries {
 				f.gaps++
 				return fmt.Errorf("journal: entry %d: event %d follows event %d", i, uint64(pos), last)
 			}
 			incomplete = true
 		}
-		workers, err := f.workers(hosts["instances"])
+		workers, err := f.parseWorkers(hosts["instances"])
 		if err != nil {
 			return fmt.Errorf("journal: entry %d: %w", i, err)
 		}
 		last = uint64(pos)
-		events = append(events, Event{form, last, workers})
+		events = append(events, Event{update, last, workers})
 	}
-	if anew {
-		events = fold(events)
+	if replay {
+		events = mergeEvents(events)
 	}
-	if anew && last < f.pos { // it told less than is known: the gap may be told later
-		return fmt.Errorf("journal: events up to %d are told, %d are known", last, f.pos)
+	if replay && last < f.lastPos { // the replay is behind the feed; a later one may fill the gap
+		return fmt.Errorf("journal: replay ends at event %d, event %d is known", last, f.lastPos)
 	}
-	asOf := asked
-	if known, told := all["pos"].(float64); !told || known != float64(last) || incomplete {
+	asOf := askedAt
+	if servicePos, ok := response["pos"].(float64); !ok || servicePos != float64(last) || incomplete {
 		asOf = time.Time{}
 	}
-	f.list(events, asOf)
-	f.pos, f.gaps, f.incomplete = last, 0, incomplete
+	f.onEvents(events, asOf)
+	f.lastPos, f.gaps, f.incomplete = last, 0, incomplete
 	return nil
 }
 
-// fold makes one event of many: a replay from the start must not bring back, even for a moment, what is gone.
-func fold(events []Event) []Event {
+// mergeEvents merges events into one with each worker's last state, so that a replay from the start does not list
+// removed workers again, not even for a moment.
+func mergeEvents(events []Event) []Event {
 	if len(events) == 0 {
 		return nil
 	}
-	out := Event{Form: router.ListChanges, Pos: events[len(events)-1].Pos}
-	at := map[string]int{}
+	out := Event{Update: router.ListChanges, Pos: events[len(events)-1].Pos}
+	index := map[string]int{}
 	for _, e := range events {
-		if e.Form == router.ListComplete {
-			out.Form, out.Workers = router.ListComplete, nil
-			clear(at)
+		if e.Update == router.ListComplete {
+			out.Update, out.Workers = router.ListComplete, nil
+			clear(index)
 		}
 		for _, w := range e.Workers {
-			i, known := at[w.Name]
+			i, known := index[w.Name]
 			if !known {
-				at[w.Name] = len(out.Workers)
+				index[w.Name] = len(out.Workers)
 				out.Workers = append(out.Workers, w)
 				continue
 			}
@@ -347,19 +350,19 @@
 	return []Event{out}
 }
 
-// workers reads a list of instances; one of a state that is unknown is left out.
-func (f *Feed) workers(instances any) (out []Worker, err error) {
+// parseWorkers parses a list of instances and skips those in an unknown state.
+func (f *Feed) parseWorkers(instances any) (out []Worker, err error) {
 	list, _ := instances.([]any)
 	for i, instance := range list {
 		m, _ := instance.(map[string]any)
-		word := func(name string) string { s, _ := m[name].(string); return s }
+		text := func(name string) string { s, _ := m[name].(string); return s }
 		number := func(name string) float64 { n, _ := m[name].(float64); return n }
-		w := Worker{Name: word("instanceId"), Address: word("hostPort"), Zone: word("zone"), Kind: word("machineType"),
+		w := Worker{Name: text("instanceId"), Address: text("hostPort"), Zone: text("zone"), Kind: text("machineType"),
 			Cell: int(number("cell")), StartedMs: int64(number("startedAtMs"))}
 		if w.Name == "" {
 			return nil, fmt.Errorf(`instance %d: "instanceId" is missing`, i)
 		}
-		switch state := word("lifecycle"); state {
+		switch state := text("lifecycle"); state {
 		case "active":
 			w.State = router.Ready
 		case "leaving":
@@ -367,7 +370,7 @@
 		case "left":
 			w.State = router.Gone
 		default:
-			f.log.Warn().Str("worker", w.Name).Str("lifecycle", state).Msg("unknown state, left out")
+			f.log.Warn().Str("worker", w.Name).Str("lifecycle", state).Msg("worker skipped: unknown lifecycle state")
 			continue
 		}
 		out = append(out, w)
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -20,28 +20,28 @@
 	"mallowlanding/router"
 )
 
-const patience = 5 * time.Second
+const testTimeout = 5 * time.Second
 
-// service is a stand-in journal service: each ask waits until the test says what is answered.
-type service struct {
-	t    *testing.T
-	l    net.Listener
-	asks chan ask
-	mu   sync.Mutex
-	all  []net.Conn
+// fakeService is a stand-in journal service that hands its requests to the test, which answers them.
+type fakeService struct {
+	t        *testing.T
+	listener net.Listener
+	requests chan request
+	mu       sync.Mutex
+	conns    []net.Conn
 }
 
-type ask struct {
-	nc   net.Conn
-	tail int
+type request struct {
+	conn    net.Conn
+	fromPos int
 }
 
-func newService(t *testing.T) *service {
+func newService(t *testing.T) *fakeService {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &service{t: t, l: l, asks: make(chan ask, 64)}
+	s := &fakeService{t: t, listener: l, requests: make(chan request, 64)}
 	go func() {
 		for {
 			nc, err := l.Accept()
@@ -49,17 +49,17 @@
 				return
 			}
 			s.mu.Lock()
-			s.all = append(s.all, nc)
+			s.conns = append(s.conns, nc)
 			s.mu.Unlock()
 			go func() {
 				defer nc.Close()
 				for in := bufio.NewReader(nc); ; {
-					head, err := http.ReadRequest(in)
+					req, err := http.ReadRequest(in)
 					if err != nil {
 						return
 					}
-					tail, _ := strconv.Atoi(head.URL.Query().Get("tail"))
-					s.asks <- ask{nc, tail}
+					fromPos, _ := strconv.Atoi(req.URL.Query().Get("tail"))
+					s.requests <- request{nc, fromPos}
 				}
 			}()
 		}
@@ -67,342 +67,350 @@
 	return s
 }
 
-func (s *service) close() {
-	s.l.Close()
+func (s *fakeService) close() {
+	s.listener.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, nc := range s.all {
+	for _, nc := range s.conns {
 		nc.Close()
 	}
 }
 
-func (s *service) address() string { return s.l.Addr().String() }
+func (s *fakeService) address() string { return s.listener.Addr().String() }
 
-// asked waits for the next ask, which must be from a number on.
-func (s *service) asked(tail int) ask {
+// expectRequest waits for the next request and checks the event number that it asks from.
+func (s *fakeService) expectRequest(fromPos int) request {
 	s.t.Helper()
 	select {
-	case a := <-s.asks:
-		if a.tail != tail {
-			s.t.Fatalf("asked from %d, want %d", a.tail, tail)
+	case r := <-s.requests:
+		if r.fromPos != fromPos {
+			s.t.Fatalf("request from event %d, want %d", r.fromPos, fromPos)
 		}
-		return a
-	case <-time.After(patience):
-		s.t.Fatal("nothing was asked")
-		return ask{}
+		return r
+	case <-time.After(testTimeout):
+		s.t.Fatal("no request came")
+		return request{}
 	}
 }
 
-func (a ask) answer(body string) {
-	fmt.Fprintf(a.nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+func (r request) respond(body string) {
+	fmt.Fprintf(r.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// entry is an event: words are WORKER=STATE.
-func entry(pos int, whole bool, words ...string) string {
+// entryJSON encodes an event; each of workerStates is WORKER=STATE.
+func entryJSON(pos int, reset bool, workerStates ...string) string {
 	var list []string
-	for _, word := range words {
-		name, state, _ := strings.Cut(word, "=")
+	for _, pair := range workerStates {
+		name, state, _ := strings.Cut(pair, "=")
 		list = append(list, fmt.Sprintf(`{"instanceId":%q,"hostPort":"127.0.0.1:1","lifecycle":%q}`, name, state))
 	}
-	return fmt.Sprintf(`{"pos":%d,"hosts":{"reset":%t,"instances":[%s]}}`, pos, whole, strings.Join(list, ","))
+	return fmt.Sprintf(`{"pos":%d,"hosts":{"reset":%t,"instances":[%s]}}`, pos, reset, strings.Join(list, ","))
 }
 
-func answer(entries ...string) string {
+func responseJSON(entries ...string) string {
 	return fmt.Sprintf(`{"pos":1,"entries":[%s]}`, strings.Join(entries, ","))
 }
 
-// follower is a feed under test and what it told.
-type follower struct {
-	t      *testing.T
-	f      *Feed
-	told   chan string
-	lapses chan time.Duration // from when a clock began to run to when it ends
+// testFeed is a running feed with the events and expiries that it has reported.
+type testFeed struct {
+	t        *testing.T
+	feed     *Feed
+	events   chan string
+	expiries chan time.Duration // time from the failure until the expiry
 }
 
-func noLapse(time.Time, time.Time) {}
+func ignoreExpiry(time.Time, time.Time) {}
 
-func follow(t *testing.T, s *service) *follower {
+func startFeed(t *testing.T, s *fakeService) *testFeed {
 	t.Helper()
 	before := goleak.IgnoreCurrent()
-	fo := &follower{t: t, told: make(chan string, 64), lapses: make(chan time.Duration, 64)}
-	fo.f = New(s.address(), func(events []Event, _ time.Time) {
+	tf := &testFeed{t: t, events: make(chan string, 64), expiries: make(chan time.Duration, 64)}
+	tf.feed = New(s.address(), func(events []Event, _ time.Time) {
 		var all []string
 		for _, e := range events {
-			form := "changes"
-			if e.Form == router.ListComplete {
-				form = "whole"
+			update := "changes"
+			if e.Update == router.ListComplete {
+				update = "whole"
 			}
-			words := []string{}
+			states := []string{}
 			for _, w := range e.Workers {
-				words = append(words, fmt.Sprintf("%s=%d", w.Name, w.State))
+				states = append(states, fmt.Sprintf("%s=%d", w.Name, w.State))
 			}
-			slices.Sort(words)
-			all = append(all, fmt.Sprintf("%d %s %s", e.Pos, form, strings.Join(words, " ")))
+			slices.Sort(states)
+			all = append(all, fmt.Sprintf("%d %s %s", e.Pos, update, strings.Join(states, " ")))
 		}
 		if len(all) > 0 {
-			fo.told <- strings.Join(all, "; ")
+			tf.events <- strings.Join(all, "; ")
 		}
-	}, func(since, by time.Time) { fo.lapses <- by.Sub(since) }, zerolog.Nop())
+	}, func(since, by time.Time) { tf.expiries <- by.Sub(since) }, zerolog.Nop())
 	ctx, stop := context.WithCancel(context.Background())
-	over := make(chan bool)
-	go func() { fo.f.Run(ctx); close(over) }()
+	done := make(chan bool)
+	go func() { tf.feed.Run(ctx); close(done) }()
 	t.Cleanup(func() {
 		stop()
-		<-over
+		<-done
 		s.close()
 		goleak.VerifyNone(t, before)
 	})
-	return fo
+	return tf
 }
 
-func (fo *follower) tells(want string) {
-	fo.t.Helper()
+func (tf *testFeed) expectEvents(want string) {
+	tf.t.Helper()
 	select {
-	case got := <-fo.told:
+	case got := <-tf.events:
 		if got != want {
-			fo.t.Fatalf("told %q, want %q", got, want)
+			tf.t.Fatalf("got events %q, want %q", got, want)
 		}
-	case <-time.After(patience):
-		fo.t.Fatalf("nothing was told, want %q", want)
+	case <-time.After(testTimeout):
+		tf.t.Fatalf("got no events, want %q", want)
 	}
 }
 
-func (fo *follower) nothing() {
-	fo.t.Helper()
+func (tf *testFeed) expectNoEvents() {
+	tf.t.Helper()
 	select {
-	case got := <-fo.told:
-		fo.t.Fatalf("told %q", got)
+	case got := <-tf.events:
+		tf.t.Fatalf("got events %q, want none", got)
 	default:
 	}
 }
 
-// TestOneAnswerIsToldAtOnce: the events of one answer come together, so that nothing is sent between them.
-func TestOneAnswerIsToldAtOnce(t *testing.T) {
+// TestEventsOfOneResponseTogether checks that the events of one response are reported in a single call. Otherwise a
+// request could be sent to a worker between an event that lists it and one that removes it.
+func TestEventsOfOneResponseTogether(t *testing.T) {
 	s := newService(t)
-	fo := follow(t, s)
-	s.asked(0).answer(answer(entry(1, true, "a=active", "b=active"), entry(2, false, "a=left")))
-	fo.tells("1 whole a=1 b=1; 2 changes a=0")
-	s.asked(2)
+	tf := startFeed(t, s)
+	s.expectRequest(0).respond(responseJSON(entryJSON(1, true, "a=active", "b=active"), entryJSON(2, false, "a=left")))
+	tf.expectEvents("1 whole a=1 b=1; 2 changes a=0")
+	s.expectRequest(2)
 }
 
-// TestGap: a gap in the numbers has all told anew, as one whole list; what is known by then stays known.
-func TestGap(t *testing.T) {
+// TestGapCausesReplay checks that after a gap in the event numbers all events are requested again and reported as one
+// full list, and that the numbering then goes on from its last event.
+func TestGapCausesReplay(t *testing.T) {
 	s := newService(t)
-	fo := follow(t, s)
-	s.asked(0).answer(answer(entry(1, true, "a=active", "b=active")))
-	fo.tells("1 whole a=1 b=1")
-	s.asked(1).answer(answer(entry(3, false, "b=leaving")))
-	again := s.asked(0)
-	fo.nothing()
-	again.answer(answer(entry(1, true, "a=active", "b=active"), entry(2, false, "a=left", "c=active"), entry(3, false, "b=leaving")))
-	fo.tells("3 whole a=0 b=2 c=1")
-	s.asked(3)
+	tf := startFeed(t, s)
+	s.expectRequest(0).respond(responseJSON(entryJSON(1, true, "a=active", "b=active")))
+	tf.expectEvents("1 whole a=1 b=1")
+	s.expectRequest(1).respond(responseJSON(entryJSON(3, false, "b=leaving")))
+	again := s.expectRequest(0)
+	tf.expectNoEvents()
+	again.respond(responseJSON(entryJSON(1, true, "a=active", "b=active"), entryJSON(2, false, "a=left", "c=active"), entryJSON(3, false, "b=leaving")))
+	tf.expectEvents("3 whole a=0 b=2 c=1")
+	s.expectRequest(3)
 }
 
-// TestGapThatNeverHeals: what comes behind it counts at last; a drain told there must be known.
-func TestGapThatNeverHeals(t *testing.T) {
+// TestPermanentGap checks that events behind a gap are applied once the retries have not filled it: they may report a
+// drain.
+func TestPermanentGap(t *testing.T) {
 	s := newService(t)
-	fo := follow(t, s)
-	s.asked(0).answer(answer(entry(1, true, "a=active", "b=active")))
-	fo.tells("1 whole a=1 b=1")
-	gap := answer(entry(1, true, "a=active", "b=active"), entry(3, false, "b=leaving"))
-	s.asked(1).answer(answer(entry(3, false, "b=leaving")))
-	s.asked(0).answer(gap)
-	s.asked(0).answer(gap)
-	fo.tells("3 whole a=1 b=2")
-	s.asked(3)
+	tf := startFeed(t, s)
+	s.expectRequest(0).respond(responseJSON(entryJSON(1, true, "a=active", "b=active")))
+	tf.expectEvents("1 whole a=1 b=1")
+	gap := responseJSON(entryJSON(1, true, "a=active", "b=active"), entryJSON(3, false, "b=leaving"))
+	s.expectRequest(1).respond(responseJSON(entryJSON(3, false, "b=leaving")))
+	s.expectRequest(0).respond(gap)
+	s.expectRequest(0).respond(gap)
+	tf.expectEvents("3 whole a=1 b=2")
+	s.expectRequest(3)
 }
 
-// TestWholeListInTheMiddle: it counts whatever numbers came before it.
-func TestWholeListInTheMiddle(t *testing.T) {
+// TestFullListAfterGap checks that a full list is applied whatever its number, without a replay.
+func TestFullListAfterGap(t *testing.T) {
 	s := newService(t)
-	fo := follow(t, s)
-	s.asked(0).answer(answer(entry(1, true, "a=active")))
-	fo.tells("1 whole a=1")
-	s.asked(1).answer(answer(entry(7, true, "c=active"), entry(8, false, "d=active")))
-	fo.tells("7 whole c=1; 8 changes d=1")
-	s.asked(8)
+	tf := startFeed(t, s)
+	s.expectRequest(0).respond(responseJSON(entryJSON(1, true, "a=active")))
+	tf.expectEvents("1 whole a=1")
+	s.expectRequest(1).respond(responseJSON(entryJSON(7, true, "c=active"), entryJSON(8, false, "d=active")))
+	tf.expectEvents("7 whole c=1; 8 changes d=1")
+	s.expectRequest(8)
 }
 
-// TestAnswersThatAreNotWhole: nothing of them counts, and the same is asked again on a new connection.
-func TestAnswersThatAreNotWhole(t *testing.T) {
+// TestInvalidResponses checks that nothing of an invalid or truncated response is applied, and that the same events are
+// requested again.
+func TestInvalidResponses(t *testing.T) {
 	s := newService(t)
-	fo := follow(t, s)
-	s.asked(0).answer(answer(entry(1, true, "a=active")))
-	fo.tells("1 whole a=1")
-	for _, bad := range []string{`{`, `[]`, `{"entries":{}}`, answer(`{"hosts":{}}`), answer(`{"pos":1.5,"hosts":{}}`),
-		answer(entry(2, false, "b=active"), `{"pos":3,"hosts":{"instances":[{"lifecycle":"active"}]}}`)} {
-		s.asked(1).answer(bad)
+	tf := startFeed(t, s)
+	s.expectRequest(0).respond(responseJSON(entryJSON(1, true, "a=active")))
+	tf.expectEvents("1 whole a=1")
+	for _, bad := range []string{`{`, `[]`, `{"entries":{}}`, responseJSON(`{"hosts":{}}`), responseJSON(`{"pos":1.5,"hosts":{}}`),
+		responseJSON(entryJSON(2, false, "b=active"), `{"pos":3,"hosts":{"instances":[{"lifecycle":"active"}]}}`)} {
+		s.expectRequest(1).respond(bad)
 	}
-	a := s.asked(1) // breaks off in the middle
-	whole := answer(entry(2, false, "b=active"))
-	fmt.Fprintf(a.nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(whole), whole[:len(whole)/2])
-	a.nc.Close()
-	s.asked(1).answer(whole)
-	fo.tells("2 changes b=1")
+	req := s.expectRequest(1) // breaks off in the middle
+	full := responseJSON(entryJSON(2, false, "b=active"))
+	fmt.Fprintf(req.conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(full), full[:len(full)/2])
+	req.conn.Close()
+	s.expectRequest(1).respond(full)
+	tf.expectEvents("2 changes b=1")
 }
 
-// TestSilence: a service that takes the ask and says nothing is asked again soon after the wait; so is one that trickles.
-func TestSilence(t *testing.T) {
+// TestNoResponse checks that a new request is sent soon after the wait if the service has not answered the last one.
+// The deadline covers the complete response, so a service that sends it too slowly is treated the same way.
+func TestNoResponse(t *testing.T) {
 	s := newService(t)
-	fo := follow(t, s)
-	first := s.asked(0)
+	tf := startFeed(t, s)
+	first := s.expectRequest(0)
 	began := time.Now()
-	again := s.asked(0)
-	if took := time.Since(began); took > wait+2*time.Second {
-		t.Errorf("asked again after %v", took)
+	again := s.expectRequest(0)
+	if took := time.Since(began); took > maxWait+2*time.Second {
+		t.Errorf("requested again after %v", took)
 	}
-	first.answer(answer(entry(1, true, "late=active"))) // on a connection that was given up
-	again.answer(answer(entry(1, true, "a=active")))
-	fo.tells("1 whole a=1")
+	first.respond(responseJSON(entryJSON(1, true, "late=active"))) // on a connection that the feed has closed
+	again.respond(responseJSON(entryJSON(1, true, "a=active")))
+	tf.expectEvents("1 whole a=1")
 }
 
-// TestLateAnswers: a service each of whose answers comes later than usual gets through at last.
-func TestLateAnswers(t *testing.T) {
+// TestLateResponses checks that a service whose responses are always late gets one through in the end, since the time
+// allowed for a response grows.
+func TestLateResponses(t *testing.T) {
 	s := newService(t)
-	fo := follow(t, s)
+	tf := startFeed(t, s)
 	for range 4 {
-		a := s.asked(0)
+		a := s.expectRequest(0)
 		select {
-		case <-time.After(wait + 2*slackMin + slackMin/2):
-			a.answer(answer(entry(1, true, "a=active")))
-		case again := <-s.asks: // it was given up by then
-			s.asks <- again
+		case <-time.After(maxWait + 2*minSlack + minSlack/2):
+			a.respond(responseJSON(entryJSON(1, true, "a=active")))
+		case again := <-s.requests: // the feed has timed out
+			s.requests <- again
 			continue
 		}
-		fo.tells("1 whole a=1")
+		tf.expectEvents("1 whole a=1")
 		return
 	}
-	t.Fatal("no answer got through")
+	t.Fatal("no response was in time")
 }
 
-// TestMove: an answer of the old service that is read once the address has moved does not count; the new service is
-// asked from the same number.
-func TestMove(t *testing.T) {
+// TestSetAddress checks that a response of the old service is ignored once the address has changed, and that the new
+// service is asked from the same event number.
+func TestSetAddress(t *testing.T) {
 	s, other := newService(t), newService(t)
 	defer other.close()
-	fo := follow(t, s)
-	s.asked(0).answer(answer(entry(1, true, "a=active")))
-	fo.tells("1 whole a=1")
-	old := s.asked(1)
-	fo.f.SetAddress(other.address())
-	old.answer(answer(entry(2, false, "a=left")))
-	other.asked(1).answer(answer(entry(2, false, "b=active")))
-	fo.tells("2 changes b=1")
-	fo.f.SetAddress(other.address()) // the same: nothing is given up
-	other.asked(2).answer(answer(entry(3, false, "c=active")))
-	fo.tells("3 changes c=1")
+	tf := startFeed(t, s)
+	s.expectRequest(0).respond(responseJSON(entryJSON(1, true, "a=active")))
+	tf.expectEvents("1 whole a=1")
+	old := s.expectRequest(1)
+	tf.feed.SetAddress(other.address())
+	old.respond(responseJSON(entryJSON(2, false, "a=left")))
+	other.expectRequest(1).respond(responseJSON(entryJSON(2, false, "b=active")))
+	tf.expectEvents("2 changes b=1")
+	tf.feed.SetAddress(other.address()) // unchanged, so the request in flight stays
+	other.expectRequest(2).respond(responseJSON(entryJSON(3, false, "c=active")))
+	tf.expectEvents("3 changes c=1")
 }
 
-// TestAnswerReadAsItMoves: the same, where the old service's answer was read whole just before.
-func TestAnswerReadAsItMoves(t *testing.T) {
-	told := 0
-	f := New("127.0.0.1:1", func([]Event, time.Time) { told++ }, noLapse, zerolog.Nop())
-	whole := httpconn.Answer{Status: http.StatusOK, Body: []byte(answer(entry(1, true, "a=active")))}
+// TestResponseOfFormerService checks the same for a response of the old service that was read completely just before
+// the address changed.
+func TestResponseOfFormerService(t *testing.T) {
+	calls := 0
+	f := New("127.0.0.1:1", func([]Event, time.Time) { calls++ }, ignoreExpiry, zerolog.Nop())
+	full := httpconn.Answer{Status: http.StatusOK, Body: []byte(responseJSON(entryJSON(1, true, "a=active")))}
 	f.SetAddress("127.0.0.1:2")
-	if err := f.answered("127.0.0.1:1", whole, time.Now()); err == nil || told > 0 || f.pos > 0 {
-		t.Errorf("%v, told %d times, at %d", err, told, f.pos)
+	if err := f.handleResponse("127.0.0.1:1", full, time.Now()); err == nil || calls > 0 || f.lastPos > 0 {
+		t.Errorf("error %v, %d calls, at event %d", err, calls, f.lastPos)
 	}
-	if err := f.answered("127.0.0.1:2", whole, time.Now()); err != nil || told != 1 || f.pos != 1 {
-		t.Errorf("%v, told %d times, at %d", err, told, f.pos)
+	if err := f.handleResponse("127.0.0.1:2", full, time.Now()); err != nil || calls != 1 || f.lastPos != 1 {
+		t.Errorf("error %v, %d calls, at event %d", err, calls, f.lastPos)
 	}
 }
 
-// TestConfirms: an answer confirms the list as of when it was asked for, if it was read whole, was the followed service's, and
-// the service knows of no other events than we do.
-func TestConfirms(t *testing.T) {
-	asked := time.Now().Add(-time.Second)
-	first := `{"pos":1,"entries":[` + entry(1, true, "a=active") + `]}`
+// TestListConfirmation checks that a response confirms the list as of the time of its request only if it is valid and
+// the service knows of the same events as the feed.
+func TestListConfirmation(t *testing.T) {
+	askedAt := time.Now().Add(-time.Second)
+	first := `{"pos":1,"entries":[` + entryJSON(1, true, "a=active") + `]}`
 	for _, c := range []struct {
 		name      string
-		answers   []string
+		responses []string
 		confirmed bool
 	}{
 		{"all events", []string{first}, true},
 		{"nothing new", []string{first, `{"pos":1,"entries":[]}`}, true},
-		{"it knows of more than it tells", []string{first, `{"pos":3,"entries":[` + entry(2, false, "b=active") + `]}`}, false},
-		{"an older state", []string{`{"pos":2,"entries":[` + entry(1, true, "a=active") + `,` + entry(2, false, "a=leaving") + `]}`, first}, false},
-		{"it does not tell what it knows", []string{first, `{"entries":[]}`}, false},
-		{"not valid", []string{first, `{"pos":2,"entries":[{"pos":2,"hosts":{"instances":[{}]}}]}`}, false},
-		{"a gap", []string{first, `{"pos":3,"entries":[` + entry(3, false, "b=active") + `]}`}, false},
-		{"a gap that never heals", []string{first, `{"pos":3,"entries":[` + entry(3, false, "b=active") + `]}`,
-			`{"pos":3,"entries":[` + entry(3, false, "b=active") + `]}`, `{"pos":3,"entries":[` + entry(3, false, "b=active") + `]}`}, false},
-		{"nothing new after such a gap", []string{first, `{"pos":3,"entries":[` + entry(3, false, "b=active") + `]}`,
-			`{"pos":3,"entries":[` + entry(3, false, "b=active") + `]}`, `{"pos":3,"entries":[` + entry(3, false, "b=active") + `]}`,
+		{"service knows of events that it does not send", []string{first, `{"pos":3,"entries":[` + entryJSON(2, false, "b=active") + `]}`}, false},
+		{"an older state", []string{`{"pos":2,"entries":[` + entryJSON(1, true, "a=active") + `,` + entryJSON(2, false, "a=leaving") + `]}`, first}, false},
+		{"last event number is missing", []string{first, `{"entries":[]}`}, false},
+		{"invalid", []string{first, `{"pos":2,"entries":[{"pos":2,"hosts":{"instances":[{}]}}]}`}, false},
+		{"a gap", []string{first, `{"pos":3,"entries":[` + entryJSON(3, false, "b=active") + `]}`}, false},
+		{"a permanent gap", []string{first, `{"pos":3,"entries":[` + entryJSON(3, false, "b=active") + `]}`,
+			`{"pos":3,"entries":[` + entryJSON(3, false, "b=active") + `]}`, `{"pos":3,"entries":[` + entryJSON(3, false, "b=active") + `]}`}, false},
+		{"nothing new after a permanent gap", []string{first, `{"pos":3,"entries":[` + entryJSON(3, false, "b=active") + `]}`,
+			`{"pos":3,"entries":[` + entryJSON(3, false, "b=active") + `]}`, `{"pos":3,"entries":[` + entryJSON(3, false, "b=active") + `]}`,
 			`{"pos":3,"entries":[]}`}, false},
-		{"a whole list after such a gap", []string{first, `{"pos":3,"entries":[` + entry(3, false, "b=active") + `]}`,
-			`{"pos":3,"entries":[` + entry(3, false, "b=active") + `]}`, `{"pos":3,"entries":[` + entry(3, false, "b=active") + `]}`,
-			`{"pos":4,"entries":[` + entry(4, true, "b=active") + `]}`}, true},
+		{"a full list after a permanent gap", []string{first, `{"pos":3,"entries":[` + entryJSON(3, false, "b=active") + `]}`,
+			`{"pos":3,"entries":[` + entryJSON(3, false, "b=active") + `]}`, `{"pos":3,"entries":[` + entryJSON(3, false, "b=active") + `]}`,
+			`{"pos":4,"entries":[` + entryJSON(4, true, "b=active") + `]}`}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var asOf time.Time
-			f := New("127.0.0.1:1", func(_ []Event, confirmed time.Time) { asOf = confirmed }, noLapse, zerolog.Nop())
-			for _, body := range c.answers {
+			f := New("127.0.0.1:1", func(_ []Event, confirmed time.Time) { asOf = confirmed }, ignoreExpiry, zerolog.Nop())
+			for _, body := range c.responses {
 				asOf = time.Time{}
-				_ = f.answered("127.0.0.1:1", httpconn.Answer{Status: http.StatusOK, Body: []byte(body)}, asked)
+				_ = f.handleResponse("127.0.0.1:1", httpconn.Answer{Status: http.StatusOK, Body: []byte(body)}, askedAt)
 			}
 			if asOf.IsZero() == c.confirmed {
 				t.Errorf("confirmed as of %v", asOf)
 			}
-			if c.confirmed && !asOf.Equal(asked) {
-				t.Errorf("confirmed as of %v, asked at %v", asOf, asked)
+			if c.confirmed && !asOf.Equal(askedAt) {
+				t.Errorf("confirmed as of %v, requested at %v", asOf, askedAt)
 			}
 		})
 	}
 }
 
-// TestKnownConfirmsNothing: nobody can tell as of when the configuration's events were true.
-func TestKnownConfirmsNothing(t *testing.T) {
-	told := false
-	f := New("127.0.0.1:1", func(_ []Event, asOf time.Time) { told = asOf.IsZero() }, noLapse, zerolog.Nop())
-	if err := f.Apply([]byte(`{"pos":1,"entries":[`+entry(1, true, "a=active")+`]}`), time.Time{}); err != nil || !told {
-		t.Errorf("%v, told as of nobody knows when: %t", err, told)
+// TestConfiguredEventsConfirmNothing checks that the configuration's events are applied without confirming the list: it
+// is not known when they were correct.
+func TestConfiguredEventsConfirmNothing(t *testing.T) {
+	unconfirmed := false
+	f := New("127.0.0.1:1", func(_ []Event, asOf time.Time) { unconfirmed = asOf.IsZero() }, ignoreExpiry, zerolog.Nop())
+	if err := f.Apply([]byte(`{"pos":1,"entries":[`+entryJSON(1, true, "a=active")+`]}`), time.Time{}); err != nil || !unconfirmed {
+		t.Errorf("error %v, list left unconfirmed: %t", err, unconfirmed)
 	}
 }
 
-// TestRefresh: the ask that is out is given up, and the new one is to be answered at once.
-func TestRefresh(t *testing.T) {
+// TestAskAgain checks that the request in flight is dropped and a new one is sent.
+func TestAskAgain(t *testing.T) {
 	s := newService(t)
-	fo := follow(t, s)
-	s.asked(0).answer(answer(entry(1, true, "a=active")))
-	fo.tells("1 whole a=1")
-	s.asked(1)
-	fo.f.AskAgain()
-	s.asked(1).answer(answer(entry(2, false, "a=leaving")))
-	fo.tells("2 changes a=2")
+	tf := startFeed(t, s)
+	s.expectRequest(0).respond(responseJSON(entryJSON(1, true, "a=active")))
+	tf.expectEvents("1 whole a=1")
+	s.expectRequest(1)
+	tf.feed.AskAgain()
+	s.expectRequest(1).respond(responseJSON(entryJSON(2, false, "a=leaving")))
+	tf.expectEvents("2 changes a=2")
 }
 
-// TestLapses: an answer that breaks off has its clock, silence has another, from the end of the wait that was asked for; a
-// service that can't be reached has none of these.
-func TestLapses(t *testing.T) {
+// TestExpiries checks the expiry reported after a response that broke off, and after no response, which counts from the
+// end of the requested wait. A connection that ends before a response has begun reports none.
+func TestExpiries(t *testing.T) {
 	s := newService(t)
-	fo := follow(t, s)
-	lapses := func(least, most time.Duration) {
+	tf := startFeed(t, s)
+	expectExpiry := func(minDelay, maxDelay time.Duration) {
 		t.Helper()
 		select {
-		case got := <-fo.lapses:
-			if got < least || got > most {
-				t.Errorf("%v after it was seen, want %v to %v", got, least, most)
+		case got := <-tf.expiries:
+			if got < minDelay || got > maxDelay {
+				t.Errorf("expiry %v after the failure, want %v to %v", got, minDelay, maxDelay)
 			}
-		case <-time.After(patience):
-			t.Error("no clock runs")
+		case <-time.After(testTimeout):
+			t.Error("no expiry was reported")
 		}
 	}
-	s.asked(0).answer(answer(entry(1, true, "a=active")))
-	fo.tells("1 whole a=1")
-	a := s.asked(1)
-	fmt.Fprint(a.nc, "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{")
-	a.nc.Close()
-	lapses(breakClock-time.Millisecond, breakClock+time.Millisecond)
-	s.asked(1).answer(answer(entry(2, false, "a=leaving")))
-	fo.tells("2 changes a=2")
-	s.asked(2) // held for a second, as asked for, and the slack
-	lapses(waitClock-slackMin-50*time.Millisecond, waitClock-slackMin)
-	s.asked(2).nc.Close()
-	s.asked(2)
+	s.expectRequest(0).respond(responseJSON(entryJSON(1, true, "a=active")))
+	tf.expectEvents("1 whole a=1")
+	a := s.expectRequest(1)
+	fmt.Fprint(a.conn, "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{")
+	a.conn.Close()
+	expectExpiry(breakExpiry-time.Millisecond, breakExpiry+time.Millisecond)
+	s.expectRequest(1).respond(responseJSON(entryJSON(2, false, "a=leaving")))
+	tf.expectEvents("2 changes a=2")
+	s.expectRequest(2) // times out after the requested wait of a second and the slack
+	expectExpiry(waitExpiry-minSlack-50*time.Millisecond, waitExpiry-minSlack)
+	s.expectRequest(2).conn.Close()
+	s.expectRequest(2)
 	select {
-	case got := <-fo.lapses:
-		t.Errorf("%v after a connection that ended with no answer begun", got)
+	case got := <-tf.expiries:
+		t.Errorf("expiry %v after a connection that ended before a response", got)
 	case <-time.After(50 * time.Millisecond):
 	}
 }
--- a/internal/feed/outage.go
+++ b/internal/feed/outage.go
@@ -6,33 +6,33 @@
 	"github.com/rs/zerolog"
 )
 
-// logAgain is how often an outage that goes on is logged.
-const logAgain = 5 * time.Second
+// logInterval is the time between two log lines about the same outage.
+const logInterval = 5 * time.Second
 
-// outage keeps what is logged of a time in which the journal service does not tell.
+// outage logs when requests to the journal service fail and when they succeed again.
 type outage struct {
-	log      zerolog.Logger
-	answered time.Time // when the last ask that was answered whole began
-	asks     int       // that failed since; 0: there is no outage
-	logged   time.Time
+	log            zerolog.Logger
+	lastAnsweredAt time.Time // when the last successful request was sent
+	failedRequests int       // failed requests since then; 0: there is no outage
+	loggedAt       time.Time
 }
 
-// failed notes an ask that failed: the first one, and one every few seconds, is logged.
-func (o *outage) failed(err error, pos uint64) {
-	o.asks++
-	if o.asks > 1 && time.Since(o.logged) < logAgain {
+// requestFailed records a failed request. It logs the first one of an outage, and then one every logInterval.
+func (o *outage) requestFailed(err error, pos uint64) {
+	o.failedRequests++
+	if o.failedRequests > 1 && time.Since(o.loggedAt) < logInterval {
 		return
 	}
-	o.logged = time.Now()
-	o.log.Warn().Err(err).Uint64("pos", pos).Int("asks", o.asks).Dur("list_age", time.Since(o.answered)).
-		Msg("the journal service does not tell")
+	o.loggedAt = time.Now()
+	o.log.Warn().Err(err).Uint64("pos", pos).Int("asks", o.failedRequests).Dur("list_age", time.Since(o.lastAnsweredAt)).
+		Msg("request to the journal service failed")
 }
 
-// over notes an ask that was answered; it began at the time given.
-func (o *outage) over(began time.Time, pos uint64) {
-	if o.asks > 0 {
-		o.log.Info().Uint64("pos", pos).Int("asks", o.asks).Dur("list_age", time.Since(o.answered)).
-			Msg("the journal service tells again")
+// requestSucceeded records a request that was sent at the time began and has been answered.
+func (o *outage) requestSucceeded(began time.Time, pos uint64) {
+	if o.failedRequests > 0 {
+		o.log.Info().Uint64("pos", pos).Int("asks", o.failedRequests).Dur("list_age", time.Since(o.lastAnsweredAt)).
+			Msg("the journal service answers again")
 	}
-	o.answered, o.asks = began, 0
+	o.lastAnsweredAt, o.failedRequests = began, 0
 }
--- a/internal/httpconn/httpconn.go
+++ b/internal/httpconn/httpconn.go
@@ -71,8 +71,8 @@
 	return c.reader.Buffered() == 0 && sockio.IsIdle(c.raw)
 }
 
-// WriteNow writes as much of a message as the socket accepts without blocking and returns the number of bytes, so it may
-// be called with a lock held. Exchange must follow with the remaining bytes, even if there are none.
+// WriteNow writes as much of a message as the socket accepts without blocking and returns the number of bytes, so it
+// may be called with a lock held. Exchange must follow with the remaining bytes, even if there are none.
 func (c *Conn) WriteNow(message []byte, deadline time.Time) (n int, err error) {
 	if err := c.netConn.SetDeadline(deadline); err != nil {
 		return 0, fmt.Errorf("%w: %w", ErrNotSent, err)
@@ -83,8 +83,8 @@
 	return n, nil
 }
 
-// Exchange sends a message, or the bytes that WriteNow has left of it, and reads the response, whose body may have up to
-// maxBody bytes. The connection can't be used after an error; reusable reports whether it can after a response.
+// Exchange sends a message, or the bytes that WriteNow has left of it, and reads the response, whose body may have up
+// to maxBody bytes. The connection can't be used after an error; reusable reports whether it can after a response.
 func (c *Conn) Exchange(message []byte, deadline time.Time, maxBody int64) (a Answer, reusable bool, err error) {
 	if err := c.netConn.SetDeadline(deadline); err != nil {
 		return a, false, fmt.Errorf("%w: %w", ErrNotSent, err)
--- a/internal/httpconn/httpconn_test.go
+++ b/internal/httpconn/httpconn_test.go
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	_ = c.netConn.(*net.TCPConn).SetLinger(0) // fuzzing opens thousands of connections, whose ports would stay in TIME_WAIT
+	_ = c.netConn.(*net.TCPConn).SetLinger(0) // thousands of fuzzing connections must not leave ports in TIME_WAIT
 	return c.Exchange([]byte("GET / HTTP/1.1\r\n\r\n"), time.Now().Add(time.Second), testMaxBody)
 }
 
--- a/internal/httplink/httplink.go
+++ b/internal/httplink/httplink.go
@@ -35,8 +35,8 @@
 	rpcPath = "/v2/q/"
 	maxBody = 64 << 10 // bytes of a response body; the protocol limits bodies to 16 KiB
 	// A connection is not reused within this time after its last response. Responses carry no id, so a stray second
-	// copy of a response would be taken for the next request's. Such copies arrive a few milliseconds late; 50 ms is the
-	// allowance that the protocol adds to each of its time limits for socket delays.
+	// copy of a response would be taken for the next request's. Such copies arrive a few milliseconds late; 50 ms is
+	// the allowance that the protocol adds to each of its time limits for socket delays.
 	reuseDelay        = 50 * time.Millisecond
 	maxExtraConns     = 3           // further connections tried for a request that has not been written completely
 	idleCheckInterval = time.Second // time between two checks of the idle connections
@@ -46,7 +46,7 @@
 type Options struct {
 	ConnectTimeout time.Duration
 	OrderTimeout   time.Duration // a load order without a response by then has failed
-	IdleTimeout    time.Duration // workers close connections idle for this long; the front end closes them at half of it
+	IdleTimeout    time.Duration // workers close connections idle this long; the front end does so at half of it
 	MaxPause       time.Duration // a request decided on before a longer pause of the process is not sent; 0: no limit
 	MaxConnections int           // to all workers together, including idle connections
 	ReportValues   []string      // names of the values of a load report, as the router's settings spell them, by index
@@ -75,8 +75,8 @@
 	connCount     int // connections that are open or being dialled
 	idleCheckedAt time.Time
 
-	// Times by the event loop's clock, read by exchanges: when the last turn began, and when the last turn after a pause
-	// of the process began.
+	// Times by the event loop's clock, read by exchanges: when the last turn began, and when the last turn after a
+	// pause of the process began.
 	lastTurn, resumedAt atomic.Int64
 }
 
@@ -87,7 +87,8 @@
 	return s
 }
 
-// Link sends requests to one worker. Its fields are used on the event loop's goroutine only; exchanges run on their own.
+// Link sends requests to one worker. Its fields are used on the event loop's goroutine only; exchanges run on their
+// own.
 type Link struct {
 	set       *LinkSet
 	name      string
@@ -117,9 +118,9 @@
 	s.engine.SetLink(name, l)
 }
 
-// Remove removes a link: nothing more is sent on it. Requests in flight may still end or be cancelled. Requests that wait
-// for their connection are stopped: a connection that is established late would carry an RPC or a load order past the
-// grace of the worker's drain.
+// Remove removes a link: nothing more is sent on it. Requests in flight may still end or be cancelled. Requests that
+// wait for their connection are stopped: a connection that is established late would carry an RPC or a load order past
+// the grace of the worker's drain.
 func (s *LinkSet) Remove(name string) {
 	if l := s.links[name]; l != nil {
 		l.removed = true
@@ -261,8 +262,8 @@
 	local bool // not sent for a reason that says nothing about the worker: out of descriptors, link removed, cancelled
 }
 
-// start sends a message on a connection that no other exchange uses. Its first byte is written by startBy, a time of the
-// event loop's clock, or never.
+// start sends a message on a connection that no other exchange uses. Its first byte is written by startBy, a time of
+// the event loop's clock, or never.
 func (l *Link) start(label string, message []byte, timeout time.Duration, startBy router.Time, onEnd func(e result)) *exchange {
 	x := &exchange{link: l, options: l.set.options, label: label, message: message, deadline: time.Now().Add(timeout),
 		decidedAt: l.set.loop.Now(), startBy: startBy, onEnd: onEnd}
@@ -347,9 +348,9 @@
 }
 
 // sendFirstBytes is the only place where a message's first byte is written. It first checks that the link has not been
-// removed, the request has not been cancelled, and its time is not over. Remove and CancelCallOut take the same lock, so
-// either they come first and nothing is sent, or the message was started before them. This matters when a connection is
-// established late, after the worker has begun to drain or the client has left.
+// removed, the request has not been cancelled, and its time is not over. Remove and CancelCallOut take the same lock,
+// so either they come first and nothing is sent, or the message was started before them. This matters when a connection
+// is established late, after the worker has begun to drain or the client has left.
 func (x *exchange) sendFirstBytes(c *httpconn.Conn) (n int, err error) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -366,8 +367,8 @@
 	return c.WriteNow(x.message, x.deadline)
 }
 
-// expired reports whether startBy has passed, or the process has been paused since the request was decided on. A startBy
-// of math.MaxInt64 never expires.
+// expired reports whether startBy has passed, or the process has been paused since the request was decided on. A
+// startBy of math.MaxInt64 never expires.
 func (x *exchange) expired() bool {
 	if x.startBy == math.MaxInt64 {
 		return false
@@ -376,7 +377,8 @@
 	return now > x.startBy || x.link.set.paused(now, x.options.MaxPause) || x.decidedAt < router.Time(x.link.set.resumedAt.Load())
 }
 
-// stop closes the connection, which cancels the request at the worker. A request that has not been started is never sent.
+// stop closes the connection, which cancels the request at the worker. A request that has not been started is never
+// sent.
 func (x *exchange) stop() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -402,7 +404,7 @@
 	switch {
 	case errors.Is(r.err, errExpired):
 		return router.NotSent
-	case r.local, errors.Is(r.err, httpconn.ErrNotSent) && errors.Is(r.err, syscall.ECONNRESET): // established, then reset
+	case r.local, errors.Is(r.err, httpconn.ErrNotSent) && errors.Is(r.err, syscall.ECONNRESET): // or each one was reset
 		return router.Full
 	case errors.Is(r.err, httpconn.ErrNotSent):
 		return router.ConnectFailed
--- a/internal/httplink/httplink_test.go
+++ b/internal/httplink/httplink_test.go
@@ -224,7 +224,8 @@
 	r.expectNothingSent(ended)
 }
 
-// TestConnReuseDelay checks that a connection is reused once reuseDelay has passed since its last response, not earlier.
+// TestConnReuseDelay checks that a connection is reused once reuseDelay has passed since its last response, not
+// earlier.
 func TestConnReuseDelay(t *testing.T) {
 	r := newFixture(t)
 	_, ended := r.startMessage(testTimeout)
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -335,7 +335,7 @@
 }
 
 func (f *FrontEnd) event(e feed.Event) {
-	f.e.BeginWorkerList(e.Form, e.Pos)
+	f.e.BeginWorkerList(e.Update, e.Pos)
 	named := map[string]bool{}
 	for _, w := range e.Workers {
 		if err := f.worker(w); err != nil {
@@ -344,7 +344,7 @@
 		named[w.Name] = true
 	}
 	f.e.EndWorkerList()
-	if e.Form == router.ListComplete {
+	if e.Update == router.ListComplete {
 		for name := range f.addresses {
 			if !named[name] {
 				f.links.Remove(name)
