--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -31,7 +31,7 @@
 )
 
 const (
-	maxWait            = time.Second      // the service may delay a response by this; a silent one is noticed soon after
+	maxWait            = time.Second      // longest delay of a response by the service; silence is noticed soon after
 	unconfirmedMaxWait = time.Millisecond // the same while the list is unconfirmed: its current state is needed at once
 	// Time to connect, and time for a response beyond the requested wait. It doubles while responses are late, so that
 	// a service that is always slow gets through in the end. It stays below waitExpiry, which runs from the end of the
--- a/internal/httplink/httplink.go
+++ b/internal/httplink/httplink.go
@@ -404,7 +404,7 @@
 	switch {
 	case errors.Is(r.err, errExpired):
 		return router.NotSent
-	case r.local, errors.Is(r.err, httpconn.ErrNotSent) && errors.Is(r.err, syscall.ECONNRESET): // or each one was reset
+	case r.local, errors.Is(r.err, httpconn.ErrNotSent) && errors.Is(r.err, syscall.ECONNRESET): // each was reset
 		return router.Full
 	case errors.Is(r.err, httpconn.ErrNotSent):
 		return router.ConnectFailed
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -1,6 +1,6 @@
-// Package platform puts together a front end as the operators' platform starts it: configuration from
-// BALANCER_CONFIG, clients over Thrift, workers over HTTP, the list of workers from the journal service. The engine
-// and the module are those of every other front end.
+// Package platform assembles a front end for the operators' platform: it reads its configuration from the file named by
+// BALANCER_CONFIG, serves clients over Thrift, reaches workers over HTTP and gets the worker list from the journal
+// service. Its engine and router are those of every other front end.
 package platform
 
 import (
@@ -24,32 +24,33 @@
 	"mallowlanding/router"
 )
 
-// Config is what a front end is told at its start, and again with SIGHUP.
+// Config is the configuration of a front end, read at its start and again on SIGHUP.
 type Config struct {
 	Name, ListenAddress, JournalAddress string
 	Seed                                int64
-	MemoryMB                            float64 // over it the front end is killed
-	MaxSockets                          int     // descriptors that it may hold
-	KnownEvents                         []byte  // the events up to now
-	ModuleSettings                      router.Settings
+	MemoryMB                            float64 // memory limit, beyond which the platform kills the front end
+	MaxSockets                          int     // limit of open file descriptors
+	KnownEvents                         []byte  // the journal's events when the file was written, as JSON
+	RouterSettings                      router.Settings
 	Methods                             []engine.Method
 	Customers                           []string
 	Zones, Kinds                        []string
-	ReportValues                        []string // of a load report, by place
+	ReportValues                        []string // names of the values of a load report, by index
 
-	settings map[string]any // as read
+	rawSettings map[string]any // as in the file
 }
 
-// Bounds of what a front end can run with.
+// The least resources that a front end can run with.
 const (
-	socketsLeast = 48
-	memoryLeast  = 16 // MB
+	minSockets  = 48
+	minMemoryMB = 16 // MB
 )
 
-// ConfigError is what is wrong with a configuration: file, place and reason.
+// ConfigError is an error in a configuration; its text names the file, the place and the reason.
 type ConfigError struct{ error }
 
-// ReadConfig reads the file that BALANCER_CONFIG names. What is missing there, the variables tell.
+// ReadConfig reads the file at path, which BALANCER_CONFIG names. A name and a listen address that are missing there
+// come from the environment variables BALANCER_NAME and BALANCER_LISTEN.
 func ReadConfig(path string, env func(string) string) (*Config, error) {
 	if path == "" {
 		return nil, ConfigError{errors.New("BALANCER_CONFIG is not set: it names the configuration's file")}
@@ -66,8 +67,8 @@
 }
 
 func parse(text []byte, env func(string) string) (*Config, error) {
-	var tree map[string]json.RawMessage
-	if err := json.Unmarshal(text, &tree); err != nil {
+	var fields map[string]json.RawMessage
+	if err := json.Unmarshal(text, &fields); err != nil {
 		var syntax *json.SyntaxError
 		if errors.As(err, &syntax) {
 			return nil, fmt.Errorf("byte %d: %w", syntax.Offset, err)
@@ -75,23 +76,23 @@
 		return nil, err
 	}
 	var err error
-	read := func(name string, to any) {
-		if raw, told := tree[name]; told && err == nil {
+	decode := func(name string, to any) {
+		if raw, ok := fields[name]; ok && err == nil {
 			if e := json.Unmarshal(raw, to); e != nil {
 				err = fmt.Errorf("%q: %w", name, e)
 			}
 		}
 	}
-	c := &Config{Name: env("BALANCER_NAME"), ListenAddress: env("BALANCER_LISTEN"), KnownEvents: tree["known"]}
+	c := &Config{Name: env("BALANCER_NAME"), ListenAddress: env("BALANCER_LISTEN"), KnownEvents: fields["known"]}
 	var seed string
 	var limits map[string]float64
 	var settings map[string]any
-	read("name", &c.Name)
-	read("listen", &c.ListenAddress)
-	read("journal", &c.JournalAddress)
-	read("seed", &seed)
-	read("limits", &limits)
-	read("settings", &settings)
+	decode("name", &c.Name)
+	decode("listen", &c.ListenAddress)
+	decode("journal", &c.JournalAddress)
+	decode("seed", &seed)
+	decode("limits", &limits)
+	decode("settings", &settings)
 	if err != nil {
 		return nil, err
 	}
@@ -104,55 +105,57 @@
 	}
 	switch {
 	case err != nil:
-		return nil, fmt.Errorf(`"seed": %q is no hex number`, seed)
+		return nil, fmt.Errorf(`"seed": %q is not a hexadecimal number`, seed)
 	case len(c.KnownEvents) == 0:
 		return nil, errors.New(`"known" is missing`)
-	case c.MemoryMB < memoryLeast:
-		return nil, fmt.Errorf(`"limits": memory_mb %g, %d are needed`, c.MemoryMB, memoryLeast)
-	case c.MaxSockets < socketsLeast:
-		return nil, fmt.Errorf(`"limits": sockets %d, %d are needed`, c.MaxSockets, socketsLeast)
+	case c.MemoryMB < minMemoryMB:
+		return nil, fmt.Errorf(`"limits": memory_mb is %g, must be at least %d`, c.MemoryMB, minMemoryMB)
+	case c.MaxSockets < minSockets:
+		return nil, fmt.Errorf(`"limits": sockets is %d, must be at least %d`, c.MaxSockets, minSockets)
 	case settings == nil:
 		return nil, errors.New(`"settings" is missing`)
 	}
-	c.settings = settings
-	return c, c.take(nil)
+	c.rawSettings = settings
+	return c, c.applySettings(nil)
 }
 
-// take reads the settings. Gone are the places of methods and customers that were removed, by list and place.
-func (c *Config) take(gone map[string]map[int]bool) error {
+// applySettings derives the other fields from rawSettings. removed holds the indexes of the methods and customers that
+// have been removed, by the name of their list.
+func (c *Config) applySettings(removed map[string]map[int]bool) error {
 	for _, list := range operatorsettings.ListNames {
-		if err := nameid.CheckDistinct(operatorsettings.EntryNames(c.settings, list), func(name string) string { return name }); err != nil {
+		if err := nameid.CheckDistinct(operatorsettings.EntryNames(c.rawSettings, list), func(name string) string { return name }); err != nil {
 			return fmt.Errorf(`"settings": %q: %w`, list, err)
 		}
 	}
-	c.ModuleSettings = operatorsettings.FromTree(c.settings)
-	c.ModuleSettings[settingkeys.List] = settingkeys.Pushed // the journal service's events come by themselves
-	c.ModuleSettings[settingkeys.Join(settingkeys.Rules, settingkeys.ListLasts)] = float64(eventloop.FromDuration(feed.SilenceExpiry))
-	c.Customers, c.Zones, c.Kinds = operatorsettings.EntryNames(c.settings, operatorsettings.Customers), operatorsettings.EntryNames(c.settings, operatorsettings.Zones), operatorsettings.EntryNames(c.settings, operatorsettings.Kinds)
-	for i := range gone[operatorsettings.Customers] {
+	c.RouterSettings = operatorsettings.FromTree(c.rawSettings)
+	c.RouterSettings[settingkeys.List] = settingkeys.Pushed // the journal service sends events without being polled
+	c.RouterSettings[settingkeys.Join(settingkeys.Rules, settingkeys.ListLasts)] = float64(eventloop.FromDuration(feed.SilenceExpiry))
+	c.Customers, c.Zones, c.Kinds = operatorsettings.EntryNames(c.rawSettings, operatorsettings.Customers), operatorsettings.EntryNames(c.rawSettings, operatorsettings.Zones), operatorsettings.EntryNames(c.rawSettings, operatorsettings.Kinds)
+	for i := range removed[operatorsettings.Customers] {
 		c.Customers[i] = ""
 	}
-	c.Methods, c.ReportValues = nil, nil // of the settings as they were read
-	if err := c.readMethods(operatorsettings.EntryNames(c.settings, operatorsettings.Methods)); err != nil {
+	c.Methods, c.ReportValues = nil, nil // discard those of an earlier call
+	if err := c.parseMethods(operatorsettings.EntryNames(c.rawSettings, operatorsettings.Methods)); err != nil {
 		return err
 	}
-	for i := range gone[operatorsettings.Methods] {
+	for i := range removed[operatorsettings.Methods] {
 		c.Methods[i].Removed = true
 	}
 	return nil
 }
 
-// keepPlaces puts what the settings list by place where the configuration before had it: RPCs that are open, and
-// workers, go by places. What is gone keeps its place and what it was; what is new comes behind.
-func (c *Config) keepPlaces(was *Config) error {
-	settings, gone := operatorsettings.KeepIndexes(c.settings, was.settings)
-	c.settings = settings
-	return c.take(gone)
+// keepIndexes reorders the lists of the settings so that entries keep their index of the previous configuration,
+// because open RPCs and workers refer to entries by index. Removed entries keep their index and content; new ones are
+// appended.
+func (c *Config) keepIndexes(previous *Config) error {
+	settings, removed := operatorsettings.KeepIndexes(c.rawSettings, previous.rawSettings)
+	c.rawSettings = settings
+	return c.applySettings(removed)
 }
 
-// readJournal reads the journal service's address alone, out of a file that need not be right, nor whole; empty: it
-// can't be told.
-func readJournal(path string) (address string) {
+// readJournalAddress returns only the journal service's address from a file that may be invalid or truncated, or an
+// empty string if it can't be read.
+func readJournalAddress(path string) (address string) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return ""
@@ -180,74 +183,77 @@
 	return ""
 }
 
-// readMethods reads what the engine itself needs of the methods, and the load report's values.
-func (c *Config) readMethods(names []string) error {
+// parseMethods reads the settings of the methods that the engine itself needs, and the names of a load report's values.
+func (c *Config) parseMethods(names []string) error {
 	if len(names) == 0 {
 		return errors.New(`"settings": no methods`)
 	}
 	for i, name := range names {
-		num := func(what string) float64 { return c.number(settingkeys.Item(settingkeys.Methods, i, what)) }
-		word := func(what string) string {
-			v, _ := c.ModuleSettings[settingkeys.Item(settingkeys.Methods, i, what)].(string)
+		number := func(key string) float64 { return c.number(settingkeys.Item(settingkeys.Methods, i, key)) }
+		text := func(key string) string {
+			v, _ := c.RouterSettings[settingkeys.Item(settingkeys.Methods, i, key)].(string)
 			return v
 		}
-		m := engine.Method{Name: name, Effect: word(settingkeys.Effect), Group: word(settingkeys.Group), Gain: num(settingkeys.Gain),
-			SoftDeadline: router.Time(num(settingkeys.SoftDeadline)), Deadline: router.Time(num(settingkeys.Deadline)), MaxBatch: 1}
+		m := engine.Method{Name: name, Effect: text(settingkeys.Effect), Group: text(settingkeys.Group), Gain: number(settingkeys.Gain),
+			SoftDeadline: router.Time(number(settingkeys.SoftDeadline)), Deadline: router.Time(number(settingkeys.Deadline)), MaxBatch: 1}
 		if name == "" || m.Deadline <= 0 {
-			return fmt.Errorf(`"settings": method %d lacks its name or its deadline`, i)
+			return fmt.Errorf(`"settings": method %d has no name or no deadline`, i)
 		}
 		c.Methods = append(c.Methods, m)
 	}
 	values := settingkeys.Join(settingkeys.Report, settingkeys.Values)
 	for i := range int(c.number(values)) {
-		word, _ := c.ModuleSettings[settingkeys.Item(values, i, "")].(string)
-		c.ReportValues = append(c.ReportValues, word)
+		name, _ := c.RouterSettings[settingkeys.Item(values, i, "")].(string)
+		c.ReportValues = append(c.ReportValues, name)
 	}
 	return nil
 }
 
-func (c *Config) number(name string) float64 { v, _ := c.ModuleSettings[name].(float64); return v }
+func (c *Config) number(name string) float64 { v, _ := c.RouterSettings[name].(float64); return v }
 
-// span reads a time of the settings.
-func (c *Config) span(level, name string, or time.Duration) time.Duration {
-	if v := c.number(settingkeys.Join(level, name)); v > 0 {
+// duration returns a time of the settings, or fallback if it is missing or 0.
+func (c *Config) duration(section, name string, fallback time.Duration) time.Duration {
+	if v := c.number(settingkeys.Join(section, name)); v > 0 {
 		return eventloop.ToDuration(router.Time(v))
 	}
-	return or
+	return fallback
 }
 
-// connections is the half of the descriptors that is the clients', and the workers' other half.
-func (c *Config) connections() int { return (c.MaxSockets - ownFiles) / 2 }
+// maxConnections returns the limit of connections to clients, which is also that to workers: each side gets half of the
+// file descriptors.
+func (c *Config) maxConnections() int { return (c.MaxSockets - reservedFiles) / 2 }
 
-// bounds are those of the clients' side.
-func (c *Config) bounds() thrift.Limits {
-	return thrift.Limits{MaxConnections: c.connections(), MaxMemoryMB: c.memoryMost()}
+// thriftLimits returns the limits of the clients' side.
+func (c *Config) thriftLimits() thrift.Limits {
+	return thrift.Limits{MaxConnections: c.maxConnections(), MaxMemoryMB: c.maxMemoryMB()}
 }
 
-// pace is how far apart turns begin at the least: as the module is driven elsewhere.
-func (c *Config) pace() time.Duration {
+// minTurnInterval returns the least time between the starts of two turns of the event loop: the tick of the settings,
+// with which the router is driven elsewhere, too.
+func (c *Config) minTurnInterval() time.Duration {
 	return eventloop.ToDuration(router.Time(c.number(settingkeys.Tick)))
 }
 
-// heap is what Go's collector keeps its own under.
-func (c *Config) heap() int64 { return int64(c.MemoryMB * heapPart * (1 << 20)) }
+// heapLimit returns the soft memory limit for Go's garbage collector, in bytes.
+func (c *Config) heapLimit() int64 { return int64(c.MemoryMB * heapShare * (1 << 20)) }
 
-// longest is the longest deadline of a method that there still is: the platform kills us by these.
-func (c *Config) longest() (most time.Duration) {
+// longestDeadline returns the longest deadline of the methods that have not been removed. It determines when the
+// platform kills a front end that is leaving.
+func (c *Config) longestDeadline() (longest time.Duration) {
 	for _, m := range c.Methods {
 		if !m.Removed {
-			most = max(most, eventloop.ToDuration(m.Deadline))
+			longest = max(longest, eventloop.ToDuration(m.Deadline))
 		}
 	}
-	return most
+	return longest
 }
 
-// memoryMost is the memory of the largest kind of worker, in MB.
-func (c *Config) memoryMost() (most float64) {
+// maxMemoryMB returns the memory of the largest kind of worker.
+func (c *Config) maxMemoryMB() (largest float64) {
 	for i := range c.Kinds {
-		most = max(most, c.number(settingkeys.Item(settingkeys.Join(settingkeys.Functions, settingkeys.Memory), i, "")))
+		largest = max(largest, c.number(settingkeys.Item(settingkeys.Join(settingkeys.Functions, settingkeys.Memory), i, "")))
 	}
-	return most
+	return largest
 }
 
 func (c *Config) service() *dispatch.Service { return dispatch.NewService(c.Methods, c.Customers, nil) }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -27,117 +27,117 @@
 )
 
 const (
-	margin = 10 * time.Millisecond // kept of each RPC's time for the answer's way to the client
-	// After SIGTERM connections come for 0.4 s and RPCs for 0.2 s more; what comes 0.7 s after it or later is owed
-	// nothing. For so long the front end goes on as before.
-	lame = 700 * time.Millisecond
-	look = 5 * time.Millisecond // how often a leaving front end looks whether all is answered
-	// The platform kills a front end once the longest deadline is over after lame. What is open so long before is
-	// answered then, whatever its budget.
-	lastWord = 100 * time.Millisecond
-	bindFor  = 30 * time.Second      // a predecessor may still hold the address; later than that we are given up
-	bindLook = 20 * time.Millisecond // how often it is tried
-	ownFiles = 24                    // descriptors for the listener, the journal service, standard streams and the runtime
-	heapPart = 0.7                   // of the memory limit: what Go's collector keeps its own under; stacks and code come to it
+	answerMargin = 10 * time.Millisecond // time reserved in each RPC's budget to send the answer
+	// The front end goes on as before for this long after SIGTERM. New connections arrive for 0.4 s after the signal
+	// and RPCs for another 0.2 s; RPCs that arrive 0.7 s after it or later need not be answered.
+	lameDuckTime = 700 * time.Millisecond
+	pollInterval = 5 * time.Millisecond // time between two checks whether all RPCs are answered while leaving
+	// The platform kills a front end once the longest deadline of its methods has passed after lameDuckTime. RPCs that
+	// are open this long before the kill are answered at that point, whatever is left of their budgets.
+	killMargin        = 100 * time.Millisecond
+	bindTimeout       = 30 * time.Second      // for a predecessor's address; the platform then gives up
+	bindRetryInterval = 20 * time.Millisecond // time between two attempts to listen
+	reservedFiles     = 24                    // descriptors of listener, journal connection, standard streams, runtime
+	heapShare         = 0.7                   // of MemoryMB, for Go's soft memory limit; stacks and code come on top
 )
 
-// FrontEnd is one on the platform.
+// FrontEnd is a front end that runs on the operators' platform.
 type FrontEnd struct {
-	path  string
-	env   func(string) string
-	log   zerolog.Logger
-	loop  *eventloop.Loop
-	e     *engine.Engine
-	desk  *dispatch.Dispatcher
-	links *httplink.LinkSet
-	srv   *thrift.Server
-	feed  *feed.Feed
-	base  router.Time // the loop's time at the Unix epoch
-	lame  time.Duration
-	dials httplink.Dialer // nil: the links' own
+	path         string
+	env          func(string) string
+	log          zerolog.Logger
+	loop         *eventloop.Loop
+	engine       *engine.Engine
+	dispatcher   *dispatch.Dispatcher
+	links        *httplink.LinkSet
+	server       *thrift.Server
+	feed         *feed.Feed
+	epoch        router.Time // the Unix epoch by the event loop's clock
+	lameDuckTime time.Duration
+	dialer       httplink.Dialer // nil: the default of httplink
 
-	told, leaving atomic.Bool // it has a list of workers, and can serve; it was told to leave
+	hasList, leaving atomic.Bool // a worker list has been received; SIGTERM has been received
 
-	// the loop's
+	// The following fields belong to the event loop's goroutine.
 	zones, kinds []string
-	addresses    map[string]string // of workers, by name
-	listAsOf     router.Time       // when the list was last known to be whole and true; 0: nobody has confirmed it
-	// What discovery knew at the first time counts as told by the second, unless it is asked later and answers; 0: no
-	// such clock runs.
-	lapsedSince, lapsesBy router.Time
+	addresses    map[string]string // addresses of ready workers, by name
+	listAsOf     router.Time       // when the list was last known to be complete and correct; 0: never
+	// From expiresBy on the front end counts as informed of what the journal service knew at expirySince, unless a
+	// later request is answered before (see feed.ExpiryHandler). expiresBy is 0 if no expiry is pending.
+	expirySince, expiresBy router.Time
 }
 
-// machine is the engine with both sides.
-type machine struct {
+// loopHandler handles turns of the event loop for the engine, the clients' side and the workers' side.
+type loopHandler struct {
 	*engine.Engine
-	f *FrontEnd
+	frontEnd *FrontEnd
 }
 
-// BeginTurn begins a turn.
-func (m machine) BeginTurn(now router.Time) {
-	m.f.desk.BeginTurn(now)
-	m.f.links.BeginTurn()
-	m.f.srv.BeginTurn(now)
-	m.Engine.BeginTurn(now)
+// BeginTurn implements eventloop.Handler.
+func (h loopHandler) BeginTurn(now router.Time) {
+	h.frontEnd.dispatcher.BeginTurn(now)
+	h.frontEnd.links.BeginTurn()
+	h.frontEnd.server.BeginTurn(now)
+	h.Engine.BeginTurn(now)
 }
 
-// NextDue tells when a turn is wanted though nothing comes.
-func (m machine) NextDue() (router.Time, bool) {
-	a, anyA := m.Engine.NextDue()
-	b, anyB := m.f.desk.NextDue()
+// NextDue implements eventloop.Handler: it returns the time of the next turn that is needed without an event.
+func (h loopHandler) NextDue() (router.Time, bool) {
+	a, anyA := h.Engine.NextDue()
+	b, anyB := h.frontEnd.dispatcher.NextDue()
 	if anyA && (!anyB || a < b) {
 		return a, true
 	}
 	return b, anyB
 }
 
-// EndTurn ends a turn.
-func (m machine) EndTurn() {
-	m.f.desk.Admit()
-	m.Engine.EndTurn()
-	m.f.srv.FlushTurn()
+// EndTurn implements eventloop.Handler.
+func (h loopHandler) EndTurn() {
+	h.frontEnd.dispatcher.Admit()
+	h.Engine.EndTurn()
+	h.frontEnd.server.FlushTurn()
 }
 
-// New reads the configuration and puts a front end together. Nothing is listened to before Serve.
+// New reads the configuration and creates a front end, which does not listen yet.
 func New(path string, env func(string) string, log zerolog.Logger) (*FrontEnd, *Config, error) {
 	c, err := ReadConfig(path, env)
 	if err != nil {
 		return nil, nil, err
 	}
 	f := &FrontEnd{path: path, env: env, log: log.With().Str("front_end", c.Name).Logger(), loop: eventloop.NewLoop(),
-		lame: lame, addresses: map[string]string{}, zones: c.Zones, kinds: c.Kinds}
-	f.loop.SetMinInterval(c.pace())
-	f.base = f.loop.Now() - router.Time(time.Now().UnixMicro()/100)
-	f.e = engine.New(engine.Options{Settings: c.ModuleSettings, Seed: c.Seed, Now: f.loop.Now(), AnswerMargin: eventloop.FromDuration(margin),
+		lameDuckTime: lameDuckTime, addresses: map[string]string{}, zones: c.Zones, kinds: c.Kinds}
+	f.loop.SetMinInterval(c.minTurnInterval())
+	f.epoch = f.loop.Now() - router.Time(time.Now().UnixMicro()/100)
+	f.engine = engine.New(engine.Options{Settings: c.RouterSettings, Seed: c.Seed, Now: f.loop.Now(), AnswerMargin: eventloop.FromDuration(answerMargin),
 		Log:      func(text string) { f.log.Info().Str("from", "module").Msg(text) },
-		OnGiveUp: f.logGivenUp, Subscribe: func() { f.feed.AskAgain() }})
-	f.desk = dispatch.New(f.e, dispatch.Options{Methods: c.Methods, Customers: c.Customers, AnswerMargin: eventloop.FromDuration(margin), NoJoin: true})
-	f.links = httplink.New(f.loop, f.e, f.linkOptions(c))
-	f.srv = thrift.New(f.loop, f.desk, thrift.Options{Limits: c.bounds(), Ready: f.ready, Log: f.log})
-	f.feed = feed.New(c.JournalAddress, f.listed, f.lapse, f.log)
+		OnGiveUp: f.logGiveUp, Subscribe: func() { f.feed.AskAgain() }})
+	f.dispatcher = dispatch.New(f.engine, dispatch.Options{Methods: c.Methods, Customers: c.Customers, AnswerMargin: eventloop.FromDuration(answerMargin), NoJoin: true})
+	f.links = httplink.New(f.loop, f.engine, f.linkOptions(c))
+	f.server = thrift.New(f.loop, f.dispatcher, thrift.Options{Limits: c.thriftLimits(), Ready: f.ready, Log: f.log})
+	f.feed = feed.New(c.JournalAddress, f.handleEvents, f.handleExpiry, f.log)
 	return f, c, nil
 }
 
-// ready is what check answers: a front end without any list would serve nobody.
-func (f *FrontEnd) ready() bool { return f.told.Load() && !f.leaving.Load() }
+// ready returns the answer to a client's readiness check. A front end that has not received a worker list can't serve.
+func (f *FrontEnd) ready() bool { return f.hasList.Load() && !f.leaving.Load() }
 
 func (f *FrontEnd) linkOptions(c *Config) httplink.Options {
-	return httplink.Options{ConnectTimeout: c.span(settingkeys.May, settingkeys.ConnectTimeout, 250*time.Millisecond),
-		OrderTimeout:   c.span(settingkeys.Functions, settingkeys.OrderTimeout, 10*time.Second),
-		IdleTimeout:    c.span(settingkeys.May, settingkeys.IdleClose, 10*time.Second),
-		MaxPause:       eventloop.ToDuration(router.MaxPause(c.ModuleSettings)),
-		MaxConnections: c.connections(), ReportValues: c.ReportValues, Dialer: f.dials, Log: f.log}
+	return httplink.Options{ConnectTimeout: c.duration(settingkeys.May, settingkeys.ConnectTimeout, 250*time.Millisecond),
+		OrderTimeout:   c.duration(settingkeys.Functions, settingkeys.OrderTimeout, 10*time.Second),
+		IdleTimeout:    c.duration(settingkeys.May, settingkeys.IdleClose, 10*time.Second),
+		MaxPause:       eventloop.ToDuration(router.MaxPause(c.RouterSettings)),
+		MaxConnections: c.maxConnections(), ReportValues: c.ReportValues, Dialer: f.dialer, Log: f.log}
 }
 
-// Serve runs a front end until the context ends, and then goes on as before for a while, answers what it holds, and
-// leaves. A value on reload has the configuration read again.
+// Serve runs a front end until the context ends. It then goes on as before for lameDuckTime, answers the open RPCs and
+// returns. Each value on reload makes it read the configuration again.
 func Serve(ctx context.Context, path string, reload <-chan os.Signal, log zerolog.Logger) error {
 	f, c, err := New(path, os.Getenv, log)
 	if err != nil {
 		return err
 	}
-	runtime.GOMAXPROCS(1) // all front ends share cores; a second thread of ours would only wait for the first
-	debug.SetMemoryLimit(c.heap())
+	runtime.GOMAXPROCS(1) // all front ends share the cores; a second thread would only wait for the first
+	debug.SetMemoryLimit(c.heapLimit())
 	l, err := listen(ctx, c.ListenAddress, log)
 	if err != nil {
 		return err
@@ -145,15 +145,15 @@
 	return f.serve(ctx, l, c, reload)
 }
 
-// listen takes the address. A predecessor that is still answering what it holds may have it: it is waited for.
+// listen listens on the address. While a predecessor that is still answering its RPCs holds it, listen retries.
 func listen(ctx context.Context, address string, log zerolog.Logger) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
-	for until := time.Now().Add(bindFor); errors.Is(err, syscall.EADDRINUSE) && time.Now().Before(until); {
-		log.Debug().Err(err).Msg("the address is taken")
+	for until := time.Now().Add(bindTimeout); errors.Is(err, syscall.EADDRINUSE) && time.Now().Before(until); {
+		log.Debug().Err(err).Msg("listen address is in use, retrying")
 		select {
 		case <-ctx.Done():
 			return nil, err
-		case <-time.After(bindLook):
+		case <-time.After(bindRetryInterval):
 		}
 		l, err = net.Listen("tcp", address)
 	}
@@ -161,28 +161,28 @@
 }
 
 func (f *FrontEnd) serve(ctx context.Context, l net.Listener, c *Config, reload <-chan os.Signal) error {
-	rest, endRest := context.WithCancel(context.Background())
-	defer endRest()
-	loopCtx, endLoop := context.WithCancel(context.Background())
-	defer endLoop()
-	var loopGroup, restGroup errgroup.Group
-	loopGroup.Go(func() error { f.loop.Run(loopCtx, machine{f.e, f}); return nil })
-	if err := f.feed.Apply(c.KnownEvents, time.Time{}); err != nil { // the journal service tells it again
-		f.log.Warn().Err(err).Msg("the known events are not taken over")
+	background, stopBackground := context.WithCancel(context.Background())
+	defer stopBackground()
+	loopCtx, stopLoop := context.WithCancel(context.Background())
+	defer stopLoop()
+	var loopGroup, backgroundGroup errgroup.Group
+	loopGroup.Go(func() error { f.loop.Run(loopCtx, loopHandler{f.engine, f}); return nil })
+	if err := f.feed.Apply(c.KnownEvents, time.Time{}); err != nil { // not fatal: the journal service sends them again
+		f.log.Warn().Err(err).Msg("known events of the configuration are not applied")
 	}
-	restGroup.Go(func() error { f.feed.Run(rest); return nil })
+	backgroundGroup.Go(func() error { f.feed.Run(background); return nil })
 	accepted := make(chan struct{})
-	restGroup.Go(func() error { defer close(accepted); return f.srv.Serve(l) })
+	backgroundGroup.Go(func() error { defer close(accepted); return f.server.Serve(l) })
 	f.log.Info().Str("listen", l.Addr().String()).Float64("memory_mb", c.MemoryMB).Int("sockets", c.MaxSockets).
 		Msg("front end takes RPCs")
 
 	if f.log.GetLevel() <= zerolog.DebugLevel {
-		restGroup.Go(func() error { f.compare(rest); return nil })
+		backgroundGroup.Go(func() error { f.logViews(background); return nil })
 	}
-	for going := true; going; {
+	for running := true; running; {
 		select {
 		case <-ctx.Done():
-			going = false
+			running = false
 		case <-reload:
 			f.reload(&c)
 		}
@@ -194,13 +194,13 @@
 	counts := make(chan engine.Counts, 1)
 	f.loop.Post(func() {
 		f.links.Close()
-		counts <- f.e.Counts()
+		counts <- f.engine.Counts()
 	})
 	n := <-counts
-	f.srv.Close()
-	endRest()
-	_ = restGroup.Wait()
-	endLoop()
+	f.server.Close()
+	stopBackground()
+	_ = backgroundGroup.Wait()
+	stopLoop()
 	_ = loopGroup.Wait()
 	f.log.Info().Int("unanswered", n.Open).Dur("after", time.Since(began)).Uint64("taken", n.Taken).Uint64("ok", n.OK).
 		Uint64("denied", n.Denied).Uint64("aborted", n.Aborted).Uint64("left", n.Left).Uint64("call_outs", n.CallOuts).
@@ -208,145 +208,150 @@
 	return nil
 }
 
-// leave goes on as before for a while, then takes what waits in the listener's backlog and no more, and answers all
-// that is open; what can't be by its end is given its answer then. The list of workers and reloads count to the last.
-func (f *FrontEnd) leave(began time.Time, c **Config, l net.Listener, accepted <-chan struct{}, reload <-chan os.Signal) {
-	longest := (*c).longest()
-	end := func() time.Time { return began.Add(lame + max(longest, (*c).longest()) - lastWord) }
-	lameOver, looks := time.After(f.lame), time.NewTicker(look)
-	defer looks.Stop()
-	for open, word := true, false; ; {
+// leave goes on as before for lameDuckTime, then accepts the connections in the listener's backlog and no more, and
+// returns once all RPCs are answered. Those still open when the platform is about to kill the process are answered
+// then. Changes of the worker list and reloads take effect until the end.
+func (f *FrontEnd) leave(began time.Time, config **Config, l net.Listener, accepted <-chan struct{}, reload <-chan os.Signal) {
+	longest := (*config).longestDeadline()
+	answerBy := func() time.Time {
+		return began.Add(lameDuckTime + max(longest, (*config).longestDeadline()) - killMargin)
+	}
+	lameDuckOver, ticker := time.After(f.lameDuckTime), time.NewTicker(pollInterval)
+	defer ticker.Stop()
+	for accepting, answeredAll := true, false; ; {
 		select {
 		case <-reload:
-			f.reload(c)
-		case <-lameOver:
+			f.reload(config)
+		case <-lameDuckOver:
 			thrift.StopAccepting(l)
 		case <-accepted:
 			l.Close()
-			open, accepted = false, nil
-		case now := <-looks.C:
-			if !open && f.srv.CloseIdle() == 0 || now.After(end().Add(lastWord/2)) {
+			accepting, accepted = false, nil
+		case now := <-ticker.C:
+			if !accepting && f.server.CloseIdle() == 0 || now.After(answerBy().Add(killMargin/2)) {
 				l.Close()
 				return
 			}
-			if !word && now.After(end()) {
-				word = true
-				f.loop.Post(f.e.AnswerAll)
+			if !answeredAll && now.After(answerBy()) {
+				answeredAll = true
+				f.loop.Post(f.engine.AnswerAll)
 			}
 		}
 	}
 }
 
-// logGivenUp tells at debug level which bound last held an RPC that the module gives up on.
-func (f *FrontEnd) logGivenUp(p *engine.RPC, why router.Reason) {
-	f.log.Debug().Str("ticket", p.ClientRPCID).Str("method", p.Method.Name).Str("what", p.Function).Stringer("reason", why).
-		Int("call_outs", p.CallOuts()).Msg("given up")
+// logGiveUp logs at debug level why an RPC that the router gives up on was last waiting.
+func (f *FrontEnd) logGiveUp(rpc *engine.RPC, reason router.Reason) {
+	f.log.Debug().Str("ticket", rpc.ClientRPCID).Str("method", rpc.Method.Name).Str("what", rpc.Function).Stringer("reason", reason).
+		Int("call_outs", rpc.CallOuts()).Msg("the router gave up on an RPC")
 }
 
-// compare logs each second what the module believes beside what the sockets carry.
-func (f *FrontEnd) compare(ctx context.Context) {
+// logViews logs the router's state next to the connections' state once a second.
+func (f *FrontEnd) logViews(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(time.Second):
-			f.loop.Post(func() { f.log.Debug().Str("module", f.e.Describe()).Str("sockets", f.links.Describe()).Msg("view") })
+			f.loop.Post(func() {
+				f.log.Debug().Str("module", f.engine.Describe()).Str("sockets", f.links.Describe()).Msg("state of router and connections")
+			})
 		}
 	}
 }
 
-// reload reads the configuration again; one that is wrong leaves the old one in force. Only its journal service is
-// followed all the same: the old one tells nothing more.
+// reload reads the configuration again. An invalid one is rejected, except for its journal service's address, which
+// takes effect all the same because the old service sends no more events.
 func (f *FrontEnd) reload(config **Config) {
 	now := time.Now()
-	f.lapse(now, now.Add(feed.ReloadExpiry)) // the old service tells nothing more
+	f.handleExpiry(now, now.Add(feed.ReloadExpiry)) // the old service sends no more events
 	c, err := ReadConfig(f.path, f.env)
 	if err == nil {
-		err = c.keepPlaces(*config)
+		err = c.keepIndexes(*config)
 	}
 	if err != nil {
-		journal := readJournal(f.path)
+		journal := readJournalAddress(f.path)
 		if journal != "" {
 			f.feed.SetAddress(journal)
 		}
-		f.log.Error().Err(err).Str("journal", journal).Msg("the new configuration is not taken: the old one stands")
+		f.log.Error().Err(err).Str("journal", journal).Msg("new configuration rejected, the old one stays in force")
 		return
 	}
 	*config = c
 	f.feed.SetAddress(c.JournalAddress)
-	service, prepared, links := c.service(), router.ParseSettings(c.ModuleSettings), f.linkOptions(c)
+	service, prepared, links := c.service(), router.ParseSettings(c.RouterSettings), f.linkOptions(c)
 	f.loop.Post(func() {
 		f.zones, f.kinds = c.Zones, c.Kinds
-		f.e.UpdateSettings(c.ModuleSettings, prepared, c.Methods)
-		f.desk.UpdateSettings(service, admission.Settings{})
+		f.engine.UpdateSettings(c.RouterSettings, prepared, c.Methods)
+		f.dispatcher.UpdateSettings(service, admission.Settings{})
 		f.links.UpdateSettings(links)
 	})
-	f.loop.SetMinInterval(c.pace())
-	f.srv.UpdateSettings(c.bounds())
-	debug.SetMemoryLimit(c.heap())
+	f.loop.SetMinInterval(c.minTurnInterval())
+	f.server.UpdateSettings(c.thriftLimits())
+	debug.SetMemoryLimit(c.heapLimit())
 	f.log.Info().Str("journal", c.JournalAddress).Msg("the new configuration is in force")
 }
 
-// listed takes events of the journal service over, all of one answer in one turn: what an earlier one of them says of
-// a worker, and a later one takes back, must send nothing there.
-func (f *FrontEnd) listed(events []feed.Event, asOf time.Time) {
+// handleEvents applies the events of one response of the journal service in a single turn, so that nothing is sent to a
+// worker that an earlier event adds and a later one removes.
+func (f *FrontEnd) handleEvents(events []feed.Event, asOf time.Time) {
 	f.loop.Post(func() {
 		for _, e := range events {
-			f.event(e)
+			f.applyEvent(e)
 		}
 		if !asOf.IsZero() {
 			f.listAsOf = f.loopTime(asOf)
-			if f.listAsOf > f.lapsedSince {
-				f.lapsesBy = 0
+			if f.listAsOf > f.expirySince {
+				f.expiresBy = 0
 			}
 			f.confirmList()
 		}
-		f.told.Store(true)
+		f.hasList.Store(true)
 	})
 }
 
-// lapse has what discovery knew at a time count as told by another one: the list as known lasts until then and no longer.
-func (f *FrontEnd) lapse(since, by time.Time) {
+// handleExpiry limits the validity of the current worker list to the time by; see feed.ExpiryHandler.
+func (f *FrontEnd) handleExpiry(since, by time.Time) {
 	f.loop.Post(func() {
-		f.lapsedSince = f.loopTime(since)
-		if at := f.loopTime(by); f.lapsesBy == 0 || at < f.lapsesBy {
-			f.lapsesBy = at
+		f.expirySince = f.loopTime(since)
+		if at := f.loopTime(by); f.expiresBy == 0 || at < f.expiresBy {
+			f.expiresBy = at
 		}
 		f.confirmList()
 	})
 }
 
-// loopTime is a time by the loop's clock, cut to whole units.
+// loopTime converts a time to the event loop's clock, rounded down to whole units.
 func (f *FrontEnd) loopTime(t time.Time) router.Time {
 	return f.loop.Now() - eventloop.FromDuration(time.Since(t)) - 1
 }
 
-// confirmList tells the module how old the list is. The module knows of the clock for a service that is out of reach
-// alone: where another one ends earlier the list is told to be older by as much.
+// confirmList reports the age of the worker list to the router. The router only applies the expiry of an unreachable
+// service (feed.SilenceExpiry). If another expiry ends earlier, the list is reported as older by the difference.
 func (f *FrontEnd) confirmList() {
 	if f.listAsOf == 0 {
 		return
 	}
 	asOf := f.listAsOf
-	if f.lapsesBy > 0 {
-		asOf = min(asOf, f.lapsesBy-eventloop.FromDuration(feed.SilenceExpiry))
+	if f.expiresBy > 0 {
+		asOf = min(asOf, f.expiresBy-eventloop.FromDuration(feed.SilenceExpiry))
 	}
-	f.e.ConfirmWorkerList(asOf)
+	f.engine.ConfirmWorkerList(asOf)
 }
 
-func (f *FrontEnd) event(e feed.Event) {
-	f.e.BeginWorkerList(e.Update, e.Pos)
-	named := map[string]bool{}
+func (f *FrontEnd) applyEvent(e feed.Event) {
+	f.engine.BeginWorkerList(e.Update, e.Pos)
+	listed := map[string]bool{}
 	for _, w := range e.Workers {
-		if err := f.worker(w); err != nil {
-			f.log.Error().Err(err).Msg("a worker is left out")
+		if err := f.applyWorker(w); err != nil {
+			f.log.Error().Err(err).Msg("worker of the list skipped")
 		}
-		named[w.Name] = true
+		listed[w.Name] = true
 	}
-	f.e.EndWorkerList()
+	f.engine.EndWorkerList()
 	if e.Update == router.ListComplete {
 		for name := range f.addresses {
-			if !named[name] {
+			if !listed[name] {
 				f.links.Remove(name)
 				delete(f.addresses, name)
 			}
@@ -354,20 +359,20 @@
 	}
 }
 
-func (f *FrontEnd) worker(w feed.Worker) error {
+func (f *FrontEnd) applyWorker(w feed.Worker) error {
 	started := router.Time(0)
 	if w.StartedMs > 0 {
-		started = max(1, router.Time(w.StartedMs*10)+f.base)
+		started = max(1, router.Time(w.StartedMs*10)+f.epoch)
 	}
-	if err := f.e.AddListedWorker(w.Name, w.State, started, router.ZoneID(place(f.zones, w.Zone)), router.CellID(w.Cell),
-		router.KindID(place(f.kinds, w.Kind))); err != nil {
+	if err := f.engine.AddListedWorker(w.Name, w.State, started, router.ZoneID(indexOf(f.zones, w.Zone)), router.CellID(w.Cell),
+		router.KindID(indexOf(f.kinds, w.Kind))); err != nil {
 		return err
 	}
 	address := w.Address
 	if address == "" {
 		address = f.addresses[w.Name]
 	}
-	if w.State != router.Ready || address == "" { // nothing new goes there
+	if w.State != router.Ready || address == "" { // nothing more is sent to it
 		f.links.Remove(w.Name)
 		delete(f.addresses, w.Name)
 		return nil
@@ -377,10 +382,10 @@
 	return nil
 }
 
-// place is a name's in a list; one that is not there has the place behind all others.
-func place(list []string, name string) int {
-	for i, known := range list {
-		if known == name {
+// indexOf returns the index of a name in a list, or the length of the list if it is missing.
+func indexOf(list []string, name string) int {
+	for i, entry := range list {
+		if entry == name {
 			return i
 		}
 	}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -28,68 +28,70 @@
 	"mallowlanding/internal/httpconn"
 )
 
-// A file has conversations, each under a line of '== NAME', one step a line; '#' begins a comment. They are held over
-// real sockets between the front end under test and scripted clients, workers and a journal service.
+// TestConversations runs the scripts in testdata/*.txt over real sockets, between the front end under test and scripted
+// clients (C), workers (W, V) and a journal service. Each script begins with a line '== NAME' and has one step a line;
+// '#' begins a comment. A step that expects something waits for it.
 //
-//	worker W [as V]           it listens; as V: at the address of V, which is gone
-//	tell W=STATE ...          the journal service tells an event; the first one is told at the start
-//	fleet N at W STATE        an event tells of N more workers at W's address
-//	knows N                   the front end believes N workers ready
-//	confirmed                 the list is evidence enough for all of its workers
-//	feed break|silent|moves   the service breaks off its next answer, says nothing for it, or has a new address that
-//	                          the front end is told of with a reload; bad: the front end is told nonsense
-//	config OLD=>NEW           a text of the configuration is another from here on
-//	start | stop | left       the front end runs; it is told to leave; it has left
-//	reload                    the configuration is read again
-//	known METHOD              the front end has heard of a method
-//	told                      the front end has asked for what comes after the last event
-//	C dials                   a client connects
-//	C rpc N [FIELD=VALUE]...  it sends an RPC numbered N: method query, customer acme, function F, 1000 ms
-//	C takes back N            it sends interrupt
-//	C raw "GO STRING"         it sends these bytes
-//	C check good|bad          it asks whether the front end is ready until it is answered so
-//	C half N [FIELD=VALUE]... it sends the first half of an RPC
-//	C rest                    it sends the other half
-//	C gone | C resets | C ends  it closes its connection, with a reset, with a FIN whatever it has not read
-//	C stands                  its connection is open, and nothing came
-//	crowd N                   so many clients connect and say nothing
-//	C < N ok BODY             its next answer is N's: ok with BODY, denied or aborted
-//	C closed                  its connection ends, whatever comes before
-//	W < VERB PATH [H=V]...    a message comes to W on any connection, with these heads; it answers checks by itself
-//	W says "GO STRING"        W writes it where the last message came
-//	W closes|resets           it ends that connection
-//	W gone                    the front end ends the connection of the last message
-//	W nothing MS              no message comes to W for so long
-//	W late | W up             connections to W come up from now on, but the front end hears of it only at 'up'
-//	W dialled                 one has come up that it has not heard of
-//	W dropped                 the front end waits for that one no more
-//	W empty                   a connection to W ends that nothing came on
-//	W other                   the last message came on another connection than the one before
-//	wait MS
+//	worker W [as V]           start worker W; as V: stop worker V and listen on its address
+//	tell W=STATE ...          add an event to the journal; events before 'start' are in the configuration
+//	fleet N at W STATE        add an event with N more workers at W's address
+//	knows N                   expect that the router knows N ready workers
+//	confirmed                 expect that the router needs no check of any worker in the list
+//	feed break|silent         the journal service cuts its next response short, or does not send it
+//	feed moves|bad            the journal service gets a new address, which the front end reads in a reload; the front
+//	                          end reloads an invalid configuration
+//	config OLD=>NEW           replace a text of the configuration from the next time that it is written
+//	start | stop | left       start the front end; send it the stop signal; expect that it has returned
+//	reload                    write the configuration and reload it
+//	known METHOD              expect that the front end knows the method
+//	told                      expect that the front end has requested the events after the last one
+//	C dials                   client C connects
+//	C rpc N [FIELD=VALUE]...  C sends RPC number N: method query, customer acme, one function, budget 1000 ms
+//	C takes back N            C sends interrupt for RPC N
+//	C raw "GO STRING"         C sends these bytes
+//	C check good|bad          C asks whether the front end is ready until it gets this answer
+//	C half N [FIELD=VALUE]... C sends the first half of an RPC
+//	C rest                    C sends the second half
+//	C gone|resets|ends        C closes its connection: both ways, with a reset, or its sending side only
+//	C stands                  expect that C's connection is open and nothing has been received
+//	crowd N                   N clients connect and send nothing
+//	C < N ok BODY             expect that C's next answer is for RPC N: ok with BODY, denied or aborted
+//	C closed                  expect that C's connection is closed, whatever is received before
+//	W < METHOD PATH [H=V]...  expect a request to W on any connection, with these headers; W answers checks by itself
+//	W says "GO STRING"        W writes the bytes to the connection of its last request
+//	W closes|resets           W closes or resets that connection
+//	W gone                    expect that the front end closes the connection of W's last request
+//	W nothing MS              expect that W receives no request within MS
+//	W late | W up             from 'late' on, the front end's dials to W return only at 'up'
+//	W dialled                 expect that a connection to W is established whose dial has not returned
+//	W dropped                 expect that the front end has cancelled that dial
+//	W empty                   expect that a connection to W ends without a request
+//	W other                   expect that W's last two requests came on different connections
+//	wait MS                   sleep
 func TestConversations(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no conversations: %v", err)
+		t.Fatalf("no scripts in testdata: %v", err)
 	}
 	for _, file := range files {
 		text, err := os.ReadFile(file)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, all, _ := strings.Cut("\n"+string(text), "\n== ")
-		for part := range strings.SplitSeq(all, "\n== ") {
-			name, steps, _ := strings.Cut(part, "\n")
+		_, scripts, _ := strings.Cut("\n"+string(text), "\n== ")
+		for script := range strings.SplitSeq(scripts, "\n== ") {
+			name, steps, _ := strings.Cut(script, "\n")
 			t.Run(filepath.Base(file)+"/"+name, func(t *testing.T) {
 				goleak.VerifyNone(t, goleak.IgnoreCurrent())
-				before := descriptors(t)
-				s := &stage{t: t, workers: map[string]*worker{}, clients: map[string]*client{}}
-				s.play(steps)
+				before := openDescriptors(t)
+				s := &runner{t: t, workers: map[string]*worker{}, clients: map[string]*client{}}
+				s.run(steps)
 				s.end()
-				for until := time.Now().Add(patience); descriptors(t) > before && time.Now().Before(until); {
+				for until := time.Now().Add(stepTimeout); openDescriptors(t) > before && time.Now().Before(until); {
 					time.Sleep(time.Millisecond)
 				}
-				if now := descriptors(t); now > before {
-					t.Errorf("%d descriptors are open, %d were before", now, before)
+				if now := openDescriptors(t); now > before {
+					t.Errorf("%d file descriptors are open, %d were open before", now, before)
 				}
 				goleak.VerifyNone(t, goleak.IgnoreCurrent())
 			})
@@ -97,10 +99,10 @@
 	}
 }
 
-// patience is how long a step waits for what must come.
-const patience = 3 * time.Second
+// stepTimeout is how long a step waits for what it expects.
+const stepTimeout = 3 * time.Second
 
-func descriptors(t *testing.T) int {
+func openDescriptors(t *testing.T) int {
 	all, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		t.Skip(err)
@@ -108,73 +110,73 @@
 	return len(all)
 }
 
-type stage struct {
-	t       *testing.T
-	line    string
-	workers map[string]*worker
-	clients map[string]*client
-	feed    *httptest.Server
-	mu      sync.Mutex
-	events  []any
-	more    chan struct{} // closed with each event
-	mood    string
-	path    string
-	reload  chan os.Signal
-	stop    context.CancelFunc
-	left    chan error
-	listen  string
-	config  []string // texts and what stands for them
-	asked   int      // the latest number that the journal service was asked from
-	f       *FrontEnd
-	crowd   []net.Conn
+type runner struct {
+	t                  *testing.T
+	step               string
+	workers            map[string]*worker
+	clients            map[string]*client
+	journalServer      *httptest.Server
+	mu                 sync.Mutex
+	events             []any
+	eventAdded         chan struct{} // closed when an event is added
+	feedFault          string
+	configPath         string
+	reload             chan os.Signal
+	stop               context.CancelFunc
+	left               chan error
+	listenAddress      string
+	configReplacements []string // pairs of a text and its replacement
+	askedFrom          int      // the highest event number that a request asked from
+	frontEnd           *FrontEnd
+	idleConns          []net.Conn
 }
 
 type message struct {
-	nc   net.Conn
-	head *http.Request
+	conn net.Conn
+	req  *http.Request
 }
 
 type worker struct {
-	l    net.Listener
-	came chan message
-	last net.Conn
-	was  net.Conn  // of the message before
-	ends chan bool // a connection ended; true: nothing had come on it
-	late chan bool // nil: connections are told of at once; else once it is closed; under the stage's lock
-	up   chan bool // one waits for that
-	drop chan bool // nobody waits for that one any more
-	mu   sync.Mutex
-	all  []net.Conn
+	listener  net.Listener
+	messages  chan message
+	lastConn  net.Conn
+	prevConn  net.Conn  // connection of the message before the last one
+	ended     chan bool // a connection has ended; true: without a message
+	dialGate  chan bool // dials return once it is closed, at once if it is nil; guarded by runner.mu
+	dialled   chan bool // a connection is established and its dial waits
+	abandoned chan bool // the front end has cancelled that dial
+	mu        sync.Mutex
+	conns     []net.Conn
 }
 
 type client struct {
-	nc   net.Conn
-	in   *bufio.Reader
-	rest []byte
+	conn       net.Conn
+	reader     *bufio.Reader
+	secondHalf []byte
 }
 
-func (s *stage) fail(format string, args ...any) {
+func (s *runner) fail(format string, args ...any) {
 	s.t.Helper()
-	s.t.Fatalf("line %q: %s", s.line, fmt.Sprintf(format, args...))
+	s.t.Fatalf("step %q: %s", s.step, fmt.Sprintf(format, args...))
 }
 
-func (s *stage) must(err error) {
+func (s *runner) must(err error) {
 	s.t.Helper()
 	if err != nil {
 		s.fail("%v", err)
 	}
 }
 
-func (s *stage) play(steps string) {
-	s.more = make(chan struct{})
-	s.feed = httptest.NewServer(http.HandlerFunc(s.journal))
+func (s *runner) run(steps string) {
+	s.eventAdded = make(chan struct{})
+	s.journalServer = httptest.NewServer(http.HandlerFunc(s.serveJournal))
 	for line := range strings.SplitSeq(steps, "\n") {
 		line, _, _ = strings.Cut(line, "#")
-		if s.line = strings.TrimSpace(line); s.line == "" {
+		if s.step = strings.TrimSpace(line); s.step == "" {
 			continue
 		}
-		words := strings.Fields(s.line)
-		_, text, _ := strings.Cut(s.line, `"`)
+		words := strings.Fields(s.step)
+		_, text, _ := strings.Cut(s.step, `"`)
 		if text != "" && words[0] != "config" {
 			var err error
 			text, err = strconv.Unquote(`"` + text)
@@ -183,38 +185,38 @@
 		w, c := s.workers[words[0]], s.clients[words[0]]
 		switch {
 		case words[0] == "worker":
-			s.worker(words[1], words[2:])
+			s.addWorker(words[1], words[2:])
 		case words[0] == "tell":
-			s.tell(words[1:])
+			s.addWorkerEvent(words[1:])
 		case words[0] == "fleet":
-			s.tellFleet(words[1], s.workers[words[3]], words[4])
+			s.addFleetEvent(words[1], s.workers[words[3]], words[4])
 		case words[0] == "knows":
 			many, err := strconv.Atoi(words[1])
 			s.must(err)
-			s.until(func() bool { return s.ready() == many })
+			s.waitFor(func() bool { return s.readyWorkers() == many })
 		case words[0] == "confirmed":
-			s.until(func() bool { view := s.view(); return view != "" && !strings.Contains(view, "U") })
+			s.waitFor(func() bool { view := s.workerView(); return view != "" && !strings.Contains(view, "U") })
 		case words[0] == "feed":
-			s.turnFeed(words[1])
+			s.changeFeed(words[1])
 		case words[0] == "start":
 			s.start()
 		case words[0] == "config":
-			before, after, _ := strings.Cut(strings.TrimSpace(strings.TrimPrefix(s.line, "config")), "=>")
-			s.config = append(s.config, before, after)
+			before, after, _ := strings.Cut(strings.TrimSpace(strings.TrimPrefix(s.step, "config")), "=>")
+			s.configReplacements = append(s.configReplacements, before, after)
 		case words[0] == "reload":
-			s.configure()
+			s.writeConfig()
 			s.reload <- syscall.SIGHUP
 		case words[0] == "known":
-			s.until(func() bool { _, known := s.f.desk.MethodIndex(words[1]); return known })
+			s.waitFor(func() bool { _, known := s.frontEnd.dispatcher.MethodIndex(words[1]); return known })
 		case words[0] == "told":
-			s.until(func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.asked >= len(s.events) })
+			s.waitFor(func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.askedFrom >= len(s.events) })
 		case words[0] == "crowd":
 			n, err := strconv.Atoi(words[1])
 			s.must(err)
 			for range n {
-				nc, err := net.Dial("tcp", s.listen)
+				nc, err := net.Dial("tcp", s.listenAddress)
 				s.must(err)
-				s.crowd = append(s.crowd, nc)
+				s.idleConns = append(s.idleConns, nc)
 			}
 		case words[0] == "stop":
 			s.stop()
@@ -223,71 +225,71 @@
 			case err := <-s.left:
 				s.must(err)
 				s.left = nil
-			case <-time.After(patience):
-				s.fail("it has not")
+			case <-time.After(stepTimeout):
+				s.fail("the front end is still running")
 			}
 		case words[0] == "wait":
 			ms, err := strconv.Atoi(words[1])
 			s.must(err)
 			time.Sleep(time.Duration(ms) * time.Millisecond)
 		case words[1] == "dials":
-			nc, err := net.Dial("tcp", s.listen)
+			nc, err := net.Dial("tcp", s.listenAddress)
 			s.must(err)
-			s.clients[words[0]] = &client{nc: nc, in: bufio.NewReader(nc)}
+			s.clients[words[0]] = &client{conn: nc, reader: bufio.NewReader(nc)}
 		case c != nil:
-			s.client(c, words[1:], text)
+			s.clientStep(c, words[1:], text)
 		case w != nil:
-			s.work(w, words[1:], text)
+			s.workerStep(w, words[1:], text)
 		default:
-			s.fail("nobody")
+			s.fail("unknown step, client or worker")
 		}
 	}
 }
 
-func (s *stage) client(c *client, words []string, text string) {
+func (s *runner) clientStep(c *client, words []string, text string) {
 	var err error
 	switch words[0] {
 	case "rpc":
-		_, err = c.nc.Write(execute(words[1], words[2:]))
+		_, err = c.conn.Write(executeFrame(words[1], words[2:]))
 	case "takes":
 		seq, _ := strconv.Atoi(words[2])
-		_, err = c.nc.Write(frame("interrupt", wire.ONEWAY, 99, func(ctx context.Context, w wire.TProtocol) {
+		_, err = c.conn.Write(frame("interrupt", wire.ONEWAY, 99, func(ctx context.Context, w wire.TProtocol) {
 			_ = w.WriteFieldBegin(ctx, "seqid", wire.I32, 1)
 			_ = w.WriteI32(ctx, int32(seq))
 		}))
 	case "raw":
-		_, err = c.nc.Write([]byte(text))
+		_, err = c.conn.Write([]byte(text))
 	case "check":
 		want := map[string]bool{"good": true, "bad": false}[words[1]]
-		s.until(func() bool { return s.check(c) == want })
+		s.waitFor(func() bool { return s.check(c) == want })
 	case "half":
-		frame := execute(words[1], words[2:])
-		c.rest = frame[len(frame)/2:]
-		_, err = c.nc.Write(frame[:len(frame)/2])
+		frame := executeFrame(words[1], words[2:])
+		c.secondHalf = frame[len(frame)/2:]
+		_, err = c.conn.Write(frame[:len(frame)/2])
 	case "rest":
-		_, err = c.nc.Write(c.rest)
+		_, err = c.conn.Write(c.secondHalf)
 	case "gone":
-		c.nc.Close()
+		c.conn.Close()
 	case "ends":
-		s.must(c.nc.(*net.TCPConn).CloseWrite())
+		s.must(c.conn.(*net.TCPConn).CloseWrite())
 	case "resets":
-		s.must(c.nc.(*net.TCPConn).SetLinger(0))
-		c.nc.Close()
+		s.must(c.conn.(*net.TCPConn).SetLinger(0))
+		c.conn.Close()
 	case "stands":
-		_ = c.nc.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
-		if _, e := c.in.Peek(1); !os.IsTimeout(e) {
-			s.fail("it ended, or something came: %v", e)
+		_ = c.conn.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
+		if _, e := c.reader.Peek(1); !os.IsTimeout(e) {
+			s.fail("the connection is closed, or something was received: %v", e)
 		}
 	case "<":
 		want := strings.Join(words[1:], " ")
-		_ = c.nc.SetReadDeadline(time.Now().Add(patience))
-		if got := answer(c.in); got != want {
+		_ = c.conn.SetReadDeadline(time.Now().Add(stepTimeout))
+		if got := readAnswer(c.reader); got != want {
 			s.fail("got %q", got)
 		}
 	case "closed":
-		_ = c.nc.SetReadDeadline(time.Now().Add(patience))
-		if _, e := io.Copy(io.Discard, c.in); os.IsTimeout(e) {
-			s.fail("it is open")
+		_ = c.conn.SetReadDeadline(time.Now().Add(stepTimeout))
+		if _, e := io.Copy(io.Discard, c.reader); os.IsTimeout(e) {
+			s.fail("the connection is open")
 		}
 	default:
 		s.fail("no such step")
@@ -295,84 +297,84 @@
 	s.must(err)
 }
 
-func (s *stage) work(w *worker, words []string, text string) {
+func (s *runner) workerStep(w *worker, words []string, text string) {
 	switch words[0] {
 	case "<":
 		select {
-		case m := <-w.came:
-			if got := m.head.Method + " " + m.head.RequestURI; got != words[1]+" "+words[2] {
+		case m := <-w.messages:
+			if got := m.req.Method + " " + m.req.RequestURI; got != words[1]+" "+words[2] {
 				s.fail("got %s", got)
 			}
 			for _, head := range words[3:] {
 				name, value, _ := strings.Cut(head, "=")
-				if got := m.head.Header.Get(name); got != value {
+				if got := m.req.Header.Get(name); got != value {
 					s.fail("%s is %q", name, got)
 				}
 			}
-			w.was, w.last = w.last, m.nc
-		case <-time.After(patience):
-			s.fail("nothing came")
+			w.prevConn, w.lastConn = w.lastConn, m.conn
+		case <-time.After(stepTimeout):
+			s.fail("no request was received")
 		}
 	case "late":
 		s.mu.Lock()
-		w.late = make(chan bool)
+		w.dialGate = make(chan bool)
 		s.mu.Unlock()
 	case "up":
 		s.mu.Lock()
-		close(w.late)
+		close(w.dialGate)
 		s.mu.Unlock()
 	case "dropped":
 		select {
-		case <-w.drop:
-		case <-time.After(patience):
-			s.fail("it is still waited for")
+		case <-w.abandoned:
+		case <-time.After(stepTimeout):
+			s.fail("the dial is not cancelled")
 		}
 	case "dialled":
 		select {
-		case <-w.up:
-		case <-time.After(patience):
-			s.fail("it has not")
+		case <-w.dialled:
+		case <-time.After(stepTimeout):
+			s.fail("no connection was established")
 		}
 	case "empty":
 		for {
 			select {
-			case empty := <-w.ends:
+			case empty := <-w.ended:
 				if empty {
 					return
 				}
 				continue
-			case m := <-w.came:
-				s.fail("got %s %s", m.head.Method, m.head.RequestURI)
-			case <-time.After(patience):
-				s.fail("none ended")
+			case m := <-w.messages:
+				s.fail("got %s %s", m.req.Method, m.req.RequestURI)
+			case <-time.After(stepTimeout):
+				s.fail("no connection has ended without a request")
 			}
 		}
 	case "other":
-		if w.was == w.last {
-			s.fail("it is the same")
+		if w.prevConn == w.lastConn {
+			s.fail("both requests came on the same connection")
 		}
 	case "says":
-		_, err := w.last.Write([]byte(text))
+		_, err := w.lastConn.Write([]byte(text))
 		s.must(err)
 	case "closes":
-		w.last.Close()
+		w.lastConn.Close()
 	case "resets":
-		s.must(w.last.(*net.TCPConn).SetLinger(0))
-		w.last.Close()
+		s.must(w.lastConn.(*net.TCPConn).SetLinger(0))
+		w.lastConn.Close()
 	case "gone":
-		for until := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
-			if _, err := w.last.Write([]byte(" ")); err != nil {
+		for until := time.Now().Add(stepTimeout); ; time.Sleep(time.Millisecond) {
+			if _, err := w.lastConn.Write([]byte(" ")); err != nil {
 				return
 			} else if time.Now().After(until) {
-				s.fail("it stands")
+				s.fail("the connection is still open")
 			}
 		}
 	case "nothing":
 		ms, err := strconv.Atoi(words[1])
 		s.must(err)
 		select {
-		case m := <-w.came:
-			s.fail("got %s %s", m.head.Method, m.head.RequestURI)
+		case m := <-w.messages:
+			s.fail("got %s %s", m.req.Method, m.req.RequestURI)
 		case <-time.After(time.Duration(ms) * time.Millisecond):
 		}
 	default:
@@ -380,18 +382,18 @@
 	}
 }
 
-// worker listens and hands over each message that comes, on whichever connection.
-func (s *stage) worker(name string, as []string) {
+// addWorker starts a worker that passes each request to the script, on whichever connection it comes.
+func (s *runner) addWorker(name string, reuse []string) {
 	address := "127.0.0.1:0"
-	if len(as) > 0 {
-		old := s.workers[as[1]]
-		address = old.l.Addr().String()
+	if len(reuse) > 0 {
+		old := s.workers[reuse[1]]
+		address = old.listener.Addr().String()
 		old.close()
 	}
 	l, err := net.Listen("tcp", address)
 	s.must(err)
-	w := &worker{l: l, came: make(chan message, 64), ends: make(chan bool, 64), up: make(chan bool, 64),
-		drop: make(chan bool, 64)}
+	w := &worker{listener: l, messages: make(chan message, 64), ended: make(chan bool, 64), dialled: make(chan bool, 64),
+		abandoned: make(chan bool, 64)}
 	s.mu.Lock()
 	s.workers[name] = w
 	s.mu.Unlock()
@@ -402,26 +404,26 @@
 				return
 			}
 			w.mu.Lock()
-			w.all = append(w.all, nc)
+			w.conns = append(w.conns, nc)
 			w.mu.Unlock()
 			go func() {
 				defer nc.Close()
 				empty := true
 				for in := bufio.NewReader(nc); ; {
-					head, err := http.ReadRequest(in)
+					req, err := http.ReadRequest(in)
 					if err != nil {
-						w.ends <- empty
+						w.ended <- empty
 						return
 					}
 					empty = false
-					if _, err = io.Copy(io.Discard, head.Body); err != nil {
+					if _, err = io.Copy(io.Discard, req.Body); err != nil {
 						return
 					}
-					if head.RequestURI == "/-/gauges" {
+					if req.RequestURI == "/-/gauges" {
 						_, _ = io.WriteString(nc, "HTTP/1.1 200 OK\r\nX-Meter: busy:0.1;x0:0.1\r\nContent-Length: 0\r\n\r\n")
 						continue
 					}
-					w.came <- message{nc, head}
+					w.messages <- message{nc, req}
 				}
 			}()
 		}
@@ -429,79 +431,79 @@
 }
 
 func (w *worker) close() {
-	w.l.Close()
+	w.listener.Close()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, nc := range w.all {
+	for _, nc := range w.conns {
 		nc.Close()
 	}
 }
 
-// tell adds an event.
-func (s *stage) tell(words []string) {
+// addWorkerEvent adds an event with the WORKER=STATE pairs in words.
+func (s *runner) addWorkerEvent(words []string) {
 	var list []any
 	for _, word := range words {
 		name, state, _ := strings.Cut(word, "=")
-		list = append(list, s.listed(name, s.workers[name], state))
+		list = append(list, s.workerEntry(name, s.workers[name], state))
 	}
-	s.tellList(list)
+	s.addEvent(list)
 }
 
-// tellFleet tells of so many workers, all at the address of one.
-func (s *stage) tellFleet(count string, at *worker, state string) {
+// addFleetEvent adds an event with count workers, all at the address of one.
+func (s *runner) addFleetEvent(count string, at *worker, state string) {
 	many, err := strconv.Atoi(count)
 	s.must(err)
 	var list []any
 	for i := range many {
-		list = append(list, s.listed(fmt.Sprintf("fleet-%d", i), at, state))
+		list = append(list, s.workerEntry(fmt.Sprintf("fleet-%d", i), at, state))
 	}
-	s.tellList(list)
+	s.addEvent(list)
 }
 
-// listed is a worker's entry in the list.
-func (s *stage) listed(name string, w *worker, state string) any {
-	return map[string]any{"instanceId": name, "hostPort": w.l.Addr().String(), "zone": "a", "machineType": "std", "cell": 1,
+// workerEntry returns a worker's entry of an event.
+func (s *runner) workerEntry(name string, w *worker, state string) any {
+	return map[string]any{"instanceId": name, "hostPort": w.listener.Addr().String(), "zone": "a", "machineType": "std", "cell": 1,
 		"lifecycle": state, "weight": 1, "startedAtMs": 0}
 }
 
-func (s *stage) tellList(list []any) {
+func (s *runner) addEvent(list []any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	pos := len(s.events) + 1
 	s.events = append(s.events, map[string]any{"pos": pos, "hosts": map[string]any{"generation": pos, "reset": pos == 1, "instances": list}})
-	close(s.more)
-	s.more = make(chan struct{})
+	close(s.eventAdded)
+	s.eventAdded = make(chan struct{})
 }
 
-func (s *stage) known(tail int) []byte {
+func (s *runner) journalResponse(fromPos int) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	text, err := json.Marshal(map[string]any{"pos": len(s.events), "entries": s.events[min(tail, len(s.events)):]})
+	text, err := json.Marshal(map[string]any{"pos": len(s.events), "entries": s.events[min(fromPos, len(s.events)):]})
 	s.must(err)
 	return text
 }
 
-func (s *stage) journal(out http.ResponseWriter, in *http.Request) {
-	tail, _ := strconv.Atoi(in.URL.Query().Get("tail"))
+func (s *runner) serveJournal(out http.ResponseWriter, in *http.Request) {
+	fromPos, _ := strconv.Atoi(in.URL.Query().Get("tail"))
 	wait, _ := strconv.Atoi(in.URL.Query().Get("max_wait"))
 	s.mu.Lock()
-	s.asked = max(s.asked, tail)
-	more, none := s.more, tail >= len(s.events)
+	s.askedFrom = max(s.askedFrom, fromPos)
+	eventAdded, upToDate := s.eventAdded, fromPos >= len(s.events)
 	s.mu.Unlock()
-	if none {
+	if upToDate {
 		select {
-		case <-more:
+		case <-eventAdded:
 		case <-in.Context().Done():
 			return
 		case <-time.After(time.Duration(wait) * time.Millisecond):
 		}
 	}
 	s.mu.Lock()
-	mood := s.mood
-	s.mood = ""
+	fault := s.feedFault
+	s.feedFault = ""
 	s.mu.Unlock()
-	text := s.known(tail)
-	switch mood {
+	text := s.journalResponse(fromPos)
+	switch fault {
 	case "break":
 		out.Header().Set("Content-Length", strconv.Itoa(len(text)))
 		_, _ = out.Write(text[:len(text)/2])
@@ -513,46 +515,46 @@
 	}
 }
 
-func (s *stage) turnFeed(how string) {
+func (s *runner) changeFeed(how string) {
 	switch how {
 	case "moves":
-		old := s.feed
-		s.feed = httptest.NewServer(http.HandlerFunc(s.journal))
-		s.configure()
+		old := s.journalServer
+		s.journalServer = httptest.NewServer(http.HandlerFunc(s.serveJournal))
+		s.writeConfig()
 		s.reload <- syscall.SIGHUP
 		go old.Close()
 	case "bad":
-		s.must(os.WriteFile(s.path, []byte(`{"name":`), 0o600))
+		s.must(os.WriteFile(s.configPath, []byte(`{"name":`), 0o600))
 		s.reload <- syscall.SIGHUP
 	default:
 		s.mu.Lock()
-		s.mood = how
+		s.feedFault = how
 		s.mu.Unlock()
 	}
 }
 
-func (s *stage) configure() {
+func (s *runner) writeConfig() {
 	text, err := os.ReadFile("testdata/config.json")
 	s.must(err)
-	text = []byte(strings.NewReplacer("$LISTEN", s.listen, "$JOURNAL", s.feed.Listener.Addr().String(), `"$KNOWN"`,
-		string(s.known(0))).Replace(string(text)))
-	for i := 0; i < len(s.config); i += 2 {
-		text = bytes.ReplaceAll(text, []byte(s.config[i]), []byte(s.config[i+1]))
+	text = []byte(strings.NewReplacer("$LISTEN", s.listenAddress, "$JOURNAL", s.journalServer.Listener.Addr().String(), `"$KNOWN"`,
+		string(s.journalResponse(0))).Replace(string(text)))
+	for i := 0; i < len(s.configReplacements); i += 2 {
+		text = bytes.ReplaceAll(text, []byte(s.configReplacements[i]), []byte(s.configReplacements[i+1]))
 	}
-	s.must(os.WriteFile(s.path, text, 0o600))
+	s.must(os.WriteFile(s.configPath, text, 0o600))
 }
 
-func (s *stage) start() {
+func (s *runner) start() {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	s.must(err)
-	s.listen, s.path = l.Addr().String(), filepath.Join(s.t.TempDir(), "config.json")
-	s.configure()
-	f, c, err := New(s.path, func(string) string { return "" }, zerolog.Nop())
+	s.listenAddress, s.configPath = l.Addr().String(), filepath.Join(s.t.TempDir(), "config.json")
+	s.writeConfig()
+	f, c, err := New(s.configPath, func(string) string { return "" }, zerolog.Nop())
 	s.must(err)
-	if !strings.Contains(s.t.Name(), "leave") { // others need not wait for what the platform still sends
-		f.lame = 0
+	if !strings.Contains(s.t.Name(), "leave") { // the other scripts need no lame duck time
+		f.lameDuckTime = 0
 	}
-	f.dials, s.f = s, f
+	f.dialer, s.frontEnd = s, f
 	f.links.UpdateSettings(f.linkOptions(c))
 	ctx, stop := context.WithCancel(context.Background())
 	s.stop, s.left, s.reload = stop, make(chan error, 1), make(chan os.Signal, 1)
@@ -560,11 +562,11 @@
 	go func() { left <- f.serve(ctx, l, c, s.reload) }()
 }
 
-func (s *stage) end() {
+func (s *runner) end() {
 	for _, c := range s.clients {
-		c.nc.Close()
+		c.conn.Close()
 	}
-	for _, nc := range s.crowd {
+	for _, nc := range s.idleConns {
 		nc.Close()
 	}
 	if s.stop != nil {
@@ -576,66 +578,66 @@
 	for _, w := range s.workers {
 		w.close()
 	}
-	s.feed.CloseClientConnections()
-	s.feed.Close()
+	s.journalServer.CloseClientConnections()
+	s.journalServer.Close()
 }
 
-// ready is how many workers the front end believes ready: each has one group of figures in the module's view.
-func (s *stage) ready() int { return len(strings.Fields(s.view())) }
+// readyWorkers returns the number of workers that the router considers ready: its description has one field for each.
+func (s *runner) readyWorkers() int { return len(strings.Fields(s.workerView())) }
 
-// view is the part of the module's view that tells of workers.
-func (s *stage) view() string {
+// workerView returns the workers' part of the router's description.
+func (s *runner) workerView() string {
 	view := make(chan string, 1)
-	s.f.loop.Post(func() { view <- s.f.e.Describe() })
+	s.frontEnd.loop.Post(func() { view <- s.frontEnd.engine.Describe() })
 	_, workers, _ := strings.Cut(<-view, ";")
 	return workers
 }
 
-// until waits for what must come.
-func (s *stage) until(is func() bool) {
-	for until := time.Now().Add(patience); !is(); time.Sleep(time.Millisecond) {
+// waitFor waits until the condition holds.
+func (s *runner) waitFor(condition func() bool) {
+	for until := time.Now().Add(stepTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			s.fail("it is not so")
+			s.fail("the expected state was not reached in time")
 		}
 	}
 }
 
-// check asks whether the front end is ready.
-func (s *stage) check(c *client) bool {
-	_, err := c.nc.Write(frame("check", wire.CALL, 1, func(ctx context.Context, w wire.TProtocol) {}))
+// check sends a check on the client's connection and returns whether the front end answers that it is ready.
+func (s *runner) check(c *client) bool {
+	_, err := c.conn.Write(frame("check", wire.CALL, 1, func(ctx context.Context, w wire.TProtocol) {}))
 	s.must(err)
-	_ = c.nc.SetReadDeadline(time.Now().Add(patience))
+	_ = c.conn.SetReadDeadline(time.Now().Add(stepTimeout))
 	var n uint32
-	s.must(binary.Read(c.in, binary.BigEndian, &n))
+	s.must(binary.Read(c.reader, binary.BigEndian, &n))
 	text := make([]byte, n)
-	_, err = io.ReadFull(c.in, text)
+	_, err = io.ReadFull(c.reader, text)
 	s.must(err)
 	return bytes.Contains(text, []byte{wire.BOOL, 0, 3, 1})
 }
 
-// Dial implements httplink.Dialer: a connection to a worker that is late comes up, but the front end hears of it only
-// once the worker says so, whether it still wants to know or not.
-func (s *stage) Dial(ctx context.Context, address string, within time.Duration) (*httpconn.Conn, error) {
+// Dial implements httplink.Dialer. If the worker is late, it establishes the connection at once but returns it only
+// when the worker's gate opens, even if the dial has been cancelled meanwhile.
+func (s *runner) Dial(ctx context.Context, address string, within time.Duration) (*httpconn.Conn, error) {
 	s.mu.Lock()
-	var to *worker
-	var late chan bool
+	var target *worker
+	var gate chan bool
 	for _, w := range s.workers {
-		if w.l.Addr().String() == address {
-			to, late = w, w.late
+		if w.listener.Addr().String() == address {
+			target, gate = w, w.dialGate
 		}
 	}
 	s.mu.Unlock()
 	conn, err := httpconn.Dial(context.WithoutCancel(ctx), address, within)
-	if late != nil && err == nil {
-		stop := context.AfterFunc(ctx, func() { to.drop <- true })
+	if gate != nil && err == nil {
+		stop := context.AfterFunc(ctx, func() { target.abandoned <- true })
 		defer stop()
-		to.up <- true
-		<-late
+		target.dialled <- true
+		<-gate
 	}
 	return conn, err
 }
 
-// frame encodes a message.
+// frame encodes a Thrift message in a frame.
 func frame(name string, form wire.TMessageType, seq int32, args func(ctx context.Context, w wire.TProtocol)) []byte {
 	ctx, buf := context.Background(), wire.NewTMemoryBuffer()
 	w := wire.NewTBinaryProtocolConf(buf, nil)
@@ -645,14 +647,14 @@
 	return append(binary.BigEndian.AppendUint32(nil, uint32(buf.Len())), buf.Bytes()...)
 }
 
-func execute(number string, changes []string) []byte {
-	seq, _ := strconv.Atoi(number)
+func executeFrame(seqText string, overrides []string) []byte {
+	seq, _ := strconv.Atoi(seqText)
 	fields := map[string]string{"method": "query", "rid": fmt.Sprintf("%016x", seq), "budget": "1000", "acct": "acme",
 		"obj": "00000000000000f1", "facts": "memory_mb:100;lanes:4"}
 	var names []string
 	body := ""
-	for _, change := range changes {
-		name, value, _ := strings.Cut(change, "=")
+	for _, override := range overrides {
+		name, value, _ := strings.Cut(override, "=")
 		if fields[name] = value; name == "body" {
 			body = value
 			delete(fields, name)
@@ -676,8 +678,8 @@
 	})
 }
 
-// answer reads a reply: its number, and ok with its body, denied or aborted.
-func answer(in *bufio.Reader) string {
+// readAnswer reads a reply and returns its number, and "ok" with its body, "denied" or "aborted".
+func readAnswer(in *bufio.Reader) string {
 	var n uint32
 	if err := binary.Read(in, binary.BigEndian, &n); err != nil {
 		return err.Error()
@@ -690,12 +692,12 @@
 	buf.Write(text)
 	r := wire.NewTBinaryProtocolConf(buf, nil)
 	_, _, seq, err := r.ReadMessageBegin(ctx)
-	_, _, which, err2 := r.ReadFieldBegin(ctx)
+	_, _, resultField, err2 := r.ReadFieldBegin(ctx)
 	if err != nil || err2 != nil {
 		return fmt.Sprint(err, err2)
 	}
-	if which != 0 {
-		return fmt.Sprintf("%d %s", seq, []string{"", "denied", "aborted"}[which])
+	if resultField != 0 {
+		return fmt.Sprintf("%d %s", seq, []string{"", "denied", "aborted"}[resultField])
 	}
 	_, _, _, _ = r.ReadFieldBegin(ctx)
 	body, err := r.ReadString(ctx)
