--- a/internal/sockio/sockio.go
+++ b/internal/sockio/sockio.go
@@ -1,4 +1,4 @@
-// Package sockio writes to sockets, and looks at them, without waiting.
+// Package sockio writes to sockets and inspects them without blocking.
 package sockio
 
 import (
@@ -9,78 +9,79 @@
 	"golang.org/x/sys/unix"
 )
 
-// Socket writes to a connection as far as its socket takes bytes at once, and tells what its socket knows of the peer.
-// Nobody else may be writing meanwhile.
+// Socket writes to a connection without blocking and reports what its socket knows about the peer. No other goroutine
+// may write to the connection during TryWrite.
 type Socket struct{ raw syscall.RawConn }
 
-// NewSocket makes a writer for a socket's connection; for another kind of connection it takes nothing.
-func NewSocket(nc net.Conn) Socket {
-	if sc, is := nc.(syscall.Conn); is {
-		if raw, err := sc.SyscallConn(); err == nil {
+// NewSocket returns a Socket for the connection. If the connection has no file descriptor, TryWrite writes nothing.
+func NewSocket(conn net.Conn) Socket {
+	if sysConn, ok := conn.(syscall.Conn); ok {
+		if raw, err := sysConn.SyscallConn(); err == nil {
 			return Socket{raw}
 		}
 	}
 	return Socket{}
 }
 
-// TryWrite writes what the socket takes now and tells how many bytes that were. An error is left for the next write that
-// waits: it will meet it, too.
-func (w Socket) TryWrite(b []byte) (n int) {
-	if w.raw == nil {
+// TryWrite writes as many bytes as the socket accepts without blocking and returns their number. It ignores errors,
+// because the next blocking write returns them.
+func (s Socket) TryWrite(b []byte) (n int) {
+	if s.raw == nil {
 		return 0
 	}
-	n, _ = TryWrite(w.raw, b)
+	n, _ = TryWrite(s.raw, b)
 	return n
 }
 
-// TryWrite writes what the socket takes now and tells how many bytes that were; that it takes none is no error.
+// TryWrite writes as many bytes as the socket accepts without blocking and returns their number. Writing none because
+// the send buffer is full is not an error.
 func TryWrite(raw syscall.RawConn, b []byte) (n int, err error) {
-	var fault error
+	var writeErr error
 	err = raw.Write(func(fd uintptr) bool {
-		n, fault = unix.Write(int(fd), b)
+		n, writeErr = unix.Write(int(fd), b)
 		return true
 	})
-	if fault == unix.EAGAIN || fault == unix.EINTR {
-		fault = nil
+	if writeErr == unix.EAGAIN || writeErr == unix.EINTR {
+		writeErr = nil
 	}
-	return max(n, 0), errors.Join(err, fault)
+	return max(n, 0), errors.Join(err, writeErr)
 }
 
-// HasUnread tells whether bytes came that nobody has read.
-func (w Socket) HasUnread() bool {
-	if w.raw == nil {
+// HasUnread reports whether bytes have been received that nobody has read.
+func (s Socket) HasUnread() bool {
+	if s.raw == nil {
 		return false
 	}
-	n, err := peek(w.raw)
+	n, err := peek(s.raw)
 	return err == nil && n > 0
 }
 
-// IsIdle tells whether the connection stands, and nothing came that nobody has read.
+// IsIdle reports whether the connection is open and has no unread bytes.
 func IsIdle(raw syscall.RawConn) bool {
 	_, err := peek(raw)
 	return err == unix.EAGAIN
 }
 
-// peek looks at the next byte and leaves it there; 0 bytes: the peer has ended its side.
+// peek checks for a next byte without consuming it. It returns 0 bytes if the peer has closed its sending side.
 func peek(raw syscall.RawConn) (n int, err error) {
-	gone := raw.Control(func(fd uintptr) {
+	controlErr := raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, err = unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	})
-	if gone != nil {
-		return 0, gone
+	if controlErr != nil {
+		return 0, controlErr
 	}
 	return n, err
 }
 
-// PeerClosed tells whether the peer has closed the connection, also where bytes that came before are unread.
-func (w Socket) PeerClosed() (hungUp bool) {
-	if w.raw == nil {
+// PeerClosed reports whether the peer has closed the connection, even if bytes received before that are unread.
+func (s Socket) PeerClosed() (hungUp bool) {
+	if s.raw == nil {
 		return false
 	}
-	err := w.raw.Control(func(fd uintptr) {
-		look := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-		n, err := unix.Poll(look, 0)
+	err := s.raw.Control(func(fd uintptr) {
+		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+		n, err := unix.Poll(fds, 0)
 		hungUp = err == nil && n > 0
 	})
 	return hungUp || err != nil
