--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -109,9 +109,9 @@
 	case len(c.KnownEvents) == 0:
 		return nil, errors.New(`"known" is missing`)
 	case c.MemoryMB < minMemoryMB:
-		return nil, fmt.Errorf(`"limits": memory_mb is %g, must be at least %d`, c.MemoryMB, minMemoryMB)
+		return nil, fmt.Errorf(`"limits": memory_mb %g, must be at least %d`, c.MemoryMB, minMemoryMB)
 	case c.MaxSockets < minSockets:
-		return nil, fmt.Errorf(`"limits": sockets is %d, must be at least %d`, c.MaxSockets, minSockets)
+		return nil, fmt.Errorf(`"limits": sockets %d, must be at least %d`, c.MaxSockets, minSockets)
 	case settings == nil:
 		return nil, errors.New(`"settings" is missing`)
 	}
