--- a/internal/thrift/codec.go
+++ b/internal/thrift/codec.go
@@ -1,9 +1,10 @@
-// Package thrift is a front end's side towards clients that speak the platform's protocol: Thrift's strict binary
-// protocol in frames over TCP, many RPCs open on a connection, answers in any order. It decodes into the desk and
-// encodes its one answer; it decides nothing about an RPC's path.
+// Package thrift serves clients that speak the platform's protocol: Thrift's strict binary protocol in frames over TCP,
+// with many open RPCs on a connection and answers in any order. It decodes RPCs for the dispatcher and encodes the one
+// answer to each; it does not route RPCs.
 //
-// Bytes of one frame are read and written by Apache's library. Framing, bounds and connections are this package's: the
-// library's servers answer one message after the other, and wait for as many bytes as a frame claims.
+// Apache's library encodes and decodes the content of a frame. This package implements framing, limits and connections
+// itself, because the library's servers answer messages one after the other, and wait for as many bytes as a frame's
+// header claims.
 package thrift
 
 import (
@@ -21,96 +22,97 @@
 	"mallowlanding/router"
 )
 
-// Bounds of a message. The protocol's bodies have 16 KiB at most.
+// Limits of a message. The protocol limits bodies to 16 KiB.
 const (
-	bodyMost   = 16 << 10
-	fieldsMost = 64               // of one RPC
-	frameMost  = bodyMost + 8<<10 // a body, and far more than the fields of an RPC take
+	maxBody   = 16 << 10
+	maxFields = 64              // of one RPC
+	maxFrame  = maxBody + 8<<10 // a body, and far more than an RPC's fields need
 )
 
-// what a message asks for.
+// Methods of the protocol.
 const (
-	callExecute   = "execute"
-	callInterrupt = "interrupt"
-	callCheck     = "check"
+	methodExecute   = "execute"
+	methodInterrupt = "interrupt"
+	methodCheck     = "check"
 )
 
-var conf = &wire.TConfiguration{MaxMessageSize: frameMost, MaxFrameSize: frameMost, MaxContainerSize: fieldsMost,
+var protocolConfig = &wire.TConfiguration{MaxMessageSize: maxFrame, MaxFrameSize: maxFrame, MaxContainerSize: maxFields,
 	TBinaryStrictRead: wire.BoolPtr(true), TBinaryStrictWrite: wire.BoolPtr(true)}
 
-// peer is told what a frame asked for.
-type peer interface {
+// requestHandler handles the message decoded from a frame.
+type requestHandler interface {
 	execute(seq int32, fields map[string]string, body []byte)
 	interrupt(seq int32)
 	check(seq int32)
 }
 
-// decode reads one frame's message and hands it to p. An error: it can't be read, and p was told nothing.
-func decode(frame []byte, p peer) error {
+// decode decodes the message in a frame and passes it to the handler. If it returns an error, the message is malformed
+// and the handler has not been called.
+func decode(frame []byte, handler requestHandler) error {
 	ctx, buf := context.Background(), bytes.NewBuffer(frame)
-	r := wire.NewTBinaryProtocolConf(&wire.TMemoryBuffer{Buffer: buf}, conf)
-	name, form, seq, err := r.ReadMessageBegin(ctx)
+	r := wire.NewTBinaryProtocolConf(&wire.TMemoryBuffer{Buffer: buf}, protocolConfig)
+	name, msgType, seq, err := r.ReadMessageBegin(ctx)
 	if err != nil {
-		return fmt.Errorf("head: %w", err)
+		return fmt.Errorf("message header: %w", err)
 	}
-	if oneWay := name == callInterrupt; form != wire.CALL && !(oneWay && form == wire.ONEWAY) {
-		return fmt.Errorf("message type %d of %.40q", form, name)
+	if oneWay := name == methodInterrupt; msgType != wire.CALL && !(oneWay && msgType == wire.ONEWAY) {
+		return fmt.Errorf("message type %d of %.40q", msgType, name)
 	}
 	var fields map[string]string
 	var body []byte
-	var number int32
+	var interruptSeq int32
 	for {
-		_, kind, id, err := r.ReadFieldBegin(ctx)
+		_, fieldType, fieldID, err := r.ReadFieldBegin(ctx)
 		if err != nil {
 			return fmt.Errorf("field: %w", err)
 		}
-		if kind == wire.STOP {
+		if fieldType == wire.STOP {
 			break
 		}
 		switch {
-		case name == callExecute && id == 1 && kind == wire.MAP:
+		case name == methodExecute && fieldID == 1 && fieldType == wire.MAP:
 			fields, err = readFields(ctx, r, buf)
-		case name == callExecute && id == 2 && kind == wire.STRING:
+		case name == methodExecute && fieldID == 2 && fieldType == wire.STRING:
 			body, err = readBytes(ctx, r, buf)
-		case name == callInterrupt && id == 1 && kind == wire.I32:
-			number, err = r.ReadI32(ctx)
+		case name == methodInterrupt && fieldID == 1 && fieldType == wire.I32:
+			interruptSeq, err = r.ReadI32(ctx)
 		default:
-			err = r.Skip(ctx, kind)
+			err = r.Skip(ctx, fieldType)
 		}
 		if err != nil {
-			return fmt.Errorf("field %d: %w", id, err)
+			return fmt.Errorf("field %d: %w", fieldID, err)
 		}
 	}
 	if buf.Len() > 0 {
-		return fmt.Errorf("%d bytes behind the message", buf.Len())
+		return fmt.Errorf("%d bytes after the message", buf.Len())
 	}
 	switch name {
-	case callExecute:
+	case methodExecute:
 		if fields == nil {
-			return errors.New("execute without its fields")
+			return errors.New("execute without fields")
 		}
-		p.execute(seq, fields, body)
-	case callInterrupt:
-		p.interrupt(number)
-	case callCheck:
-		p.check(seq)
+		handler.execute(seq, fields, body)
+	case methodInterrupt:
+		handler.interrupt(interruptSeq)
+	case methodCheck:
+		handler.check(seq)
 	default:
 		return fmt.Errorf("no method %.40q", name)
 	}
 	return nil
 }
 
-// readFields reads a map<string,string>. A name that stands twice is an error: which of both would count?
+// readFields reads a map<string,string>. A name that occurs twice is an error, since its value would be ambiguous.
 func readFields(ctx context.Context, r wire.TProtocol, buf *bytes.Buffer) (map[string]string, error) {
-	key, value, n, err := r.ReadMapBegin(ctx)
+	keyType, valueType, n, err := r.ReadMapBegin(ctx)
 	if err != nil {
 		return nil, err
 	}
-	if n > 0 && (key != wire.STRING || value != wire.STRING) {
-		return nil, fmt.Errorf("a map of types %d and %d", key, value)
+	if n > 0 && (keyType != wire.STRING || valueType != wire.STRING) {
+		return nil, fmt.Errorf("map of types %d and %d, want strings", keyType, valueType)
 	}
-	if n < 0 || n > fieldsMost || n*8 > buf.Len() {
-		return nil, fmt.Errorf("a map of %d fields", n)
+	if n < 0 || n > maxFields || n*8 > buf.Len() {
+		return nil, fmt.Errorf("map of %d fields does not fit the limit or the frame", n)
 	}
 	fields := make(map[string]string, n)
 	for range n {
@@ -122,31 +124,32 @@
 		if err != nil {
 			return nil, err
 		}
-		if _, twice := fields[string(k)]; twice {
-			return nil, fmt.Errorf("%.40q stands twice", k)
+		if _, duplicate := fields[string(k)]; duplicate {
+			return nil, fmt.Errorf("field %.40q occurs twice", k)
 		}
 		fields[string(k)] = string(v)
 	}
 	return fields, nil
 }
 
-// readBytes reads a string whose length the frame holds: nothing is made room for that is not there.
+// readBytes reads a string. It checks the string's length against the rest of the frame first, so that no memory is
+// allocated for bytes that are not there.
 func readBytes(ctx context.Context, r wire.TProtocol, buf *bytes.Buffer) ([]byte, error) {
-	if head := buf.Bytes(); len(head) >= 4 {
-		if n := int32(binary.BigEndian.Uint32(head)); n < 0 || int(n) > len(head)-4 {
-			return nil, fmt.Errorf("a string of %d bytes, the frame has %d", n, len(head)-4)
+	if rest := buf.Bytes(); len(rest) >= 4 {
+		if n := int32(binary.BigEndian.Uint32(rest)); n < 0 || int(n) > len(rest)-4 {
+			return nil, fmt.Errorf("string of %d bytes, the frame has %d left", n, len(rest)-4)
 		}
 	}
 	return r.ReadBinary(ctx)
 }
 
-// reply encodes a reply's frame; result writes the field of the result that is set.
-func reply(name string, seq int32, form wire.TMessageType, result func(ctx context.Context, w *wire.TBinaryProtocol) error) []byte {
+// encodeReply encodes a frame with a reply; writeResult writes the field of the result that is set.
+func encodeReply(name string, seq int32, msgType wire.TMessageType, writeResult func(ctx context.Context, w *wire.TBinaryProtocol) error) []byte {
 	ctx, buf := context.Background(), wire.NewTMemoryBufferLen(256)
-	buf.Write(make([]byte, 4)) // the frame's length
-	w := wire.NewTBinaryProtocolConf(buf, conf)
-	err := errors.Join(w.WriteMessageBegin(ctx, name, form, seq), result(ctx, w), w.WriteMessageEnd(ctx))
-	if err != nil { // a buffer in memory takes all
+	buf.Write(make([]byte, 4)) // room for the frame's length
+	w := wire.NewTBinaryProtocolConf(buf, protocolConfig)
+	err := errors.Join(w.WriteMessageBegin(ctx, name, msgType, seq), writeResult(ctx, w), w.WriteMessageEnd(ctx))
+	if err != nil { // writing to memory can't fail
 		panic(fmt.Sprintf("thrift: encode %s: %v", name, err))
 	}
 	frame := buf.Bytes()
@@ -163,62 +166,64 @@
 	return err
 }
 
-// answered encodes an Answer.
-func answered(name string, seq int32, body []byte, good bool) []byte {
-	return reply(name, seq, wire.REPLY, func(ctx context.Context, w *wire.TBinaryProtocol) error {
+// encodeAnswer encodes a reply with an Answer: a body, and whether it is good.
+func encodeAnswer(name string, seq int32, body []byte, ready bool) []byte {
+	return encodeReply(name, seq, wire.REPLY, func(ctx context.Context, w *wire.TBinaryProtocol) error {
 		return errors.Join(w.WriteFieldBegin(ctx, "success", wire.STRUCT, 0),
 			w.WriteFieldBegin(ctx, "body", wire.STRING, 1), w.WriteBinary(ctx, body), writeMap(ctx, w, 2),
-			w.WriteFieldBegin(ctx, "good", wire.BOOL, 3), w.WriteBool(ctx, good),
+			w.WriteFieldBegin(ctx, "good", wire.BOOL, 3), w.WriteBool(ctx, ready),
 			w.WriteFieldStop(ctx), w.WriteFieldStop(ctx))
 	})
 }
 
-// refused encodes a Shed: trying again is harmless. Come back 0: no advice when.
-func refused(seq int32, comeBack router.Time) []byte {
-	return reply(callExecute, seq, wire.REPLY, func(ctx context.Context, w *wire.TBinaryProtocol) error {
+// encodeShed encodes a reply with a Shed: the RPC is denied, a retry is harmless. A retryAfter of 0 gives no advice
+// when to retry.
+func encodeShed(seq int32, retryAfter router.Time) []byte {
+	return encodeReply(methodExecute, seq, wire.REPLY, func(ctx context.Context, w *wire.TBinaryProtocol) error {
 		var pairs []string
-		if comeBack > 0 {
-			pairs = []string{"backoff", strconv.FormatInt(int64(comeBack+9)/10, 10)}
+		if retryAfter > 0 {
+			pairs = []string{"backoff", strconv.FormatInt(int64(retryAfter+9)/10, 10)}
 		}
 		return errors.Join(w.WriteFieldBegin(ctx, "refused", wire.STRUCT, 1), writeMap(ctx, w, 1, pairs...),
 			w.WriteFieldStop(ctx), w.WriteFieldStop(ctx))
 	})
 }
 
-// failed encodes a Fault.
-func failed(seq int32, cause string) []byte {
-	return reply(callExecute, seq, wire.REPLY, func(ctx context.Context, w *wire.TBinaryProtocol) error {
+// encodeFault encodes a reply with a Fault: the RPC is aborted.
+func encodeFault(seq int32, cause string) []byte {
+	return encodeReply(methodExecute, seq, wire.REPLY, func(ctx context.Context, w *wire.TBinaryProtocol) error {
 		return errors.Join(w.WriteFieldBegin(ctx, "failed", wire.STRUCT, 2), writeMap(ctx, w, 1, "cause", cause),
 			w.WriteFieldStop(ctx), w.WriteFieldStop(ctx))
 	})
 }
 
-// hex tells whether s is n hex digits in lower case.
-func hex(s string, n int) bool {
+// isHex reports whether s consists of n lower-case hexadecimal digits.
+func isHex(s string, n int) bool {
 	return len(s) == n && strings.Trim(s, "0123456789abcdef") == ""
 }
 
-// visible tells whether s is of 1 to most visible ASCII characters: it can stand in a head of HTTP.
-func visible(s string, most int) bool {
+// isVisibleASCII reports whether s consists of 1 to maxLen visible ASCII characters, so that it can be sent in an HTTP
+// header.
+func isVisibleASCII(s string, maxLen int) bool {
 	for i := range len(s) {
 		if s[i] <= ' ' || s[i] > '~' {
 			return false
 		}
 	}
-	return len(s) > 0 && len(s) <= most
+	return len(s) > 0 && len(s) <= maxLen
 }
 
-// figure reads a figure that lies above 0 and up to most.
-func figure(s string, most float64) (float64, error) {
+// parseNumber parses a number greater than 0 and at most limit.
+func parseNumber(s string, limit float64) (float64, error) {
 	v, err := strconv.ParseFloat(s, 64)
-	if err != nil || len(s) > 24 || math.IsNaN(v) || v <= 0 || v > most {
-		return 0, fmt.Errorf("%.24q is no figure up to %g", s, most)
+	if err != nil || len(s) > 24 || math.IsNaN(v) || v <= 0 || v > limit {
+		return 0, fmt.Errorf("%.24q is not a number above 0 and up to %g", s, limit)
 	}
 	return v, nil
 }
 
-// Bounds of an RPC's figures: a client that tells more is not a usual one.
+// Limits of the numbers in an RPC's fields, far above those that ordinary clients send.
 const (
-	budgetMost = 600_000 // ms
-	lanesMost  = 1024
+	maxBudgetMs = 600_000 // ms
+	maxLanes    = 1024
 )
--- a/internal/thrift/conn.go
+++ b/internal/thrift/conn.go
@@ -19,152 +19,153 @@
 	"mallowlanding/router"
 )
 
-// conn is one client's connection: a goroutine that reads; its RPCs belong to the loop's.
+// conn is one client's connection. Its own goroutine reads messages; the event loop's goroutine handles its RPCs.
 type conn struct {
-	s       *Server
-	nc      net.Conn
-	now     sockio.Socket
-	since   atomic.Int64 // when it last sent a message or had an answer, Unix ns
-	spoke   atomic.Bool  // it sent a whole message
-	strikes atomic.Int32 // messages that could not be served, one after the other
-
-	// Whether the connection may be closed is decided once, under mu: see closeIdle.
-	mu      sync.Mutex
-	open    int       // RPCs that were read and are not over
-	reading time.Time // since when a message is being read; zero: none is
-	closing bool      // no further message is read
-	out     []byte    // answers that the socket has not taken
-	writing bool      // a goroutine writes them
-
-	// the loop's
-	desk  *dispatch.Conn
-	last  int32 // number of the last RPC
-	ok    int   // RPCs that it was answered ok
-	asks  map[int32]*pending
-	early map[int32]bool // taken back before they came
-	gone  bool
-	dirty bool // it has answers of this turn
-}
-
-// pending is where an open RPC's answer goes. It is the desk's Reply.
+	server      *Server
+	netConn     net.Conn
+	socket      sockio.Socket
+	lastActive  atomic.Int64 // time of its last message or answer, Unix ns
+	sentMessage atomic.Bool  // a complete message has been received
+	invalidRPCs atomic.Int32 // consecutive RPCs that were rejected as invalid
+
+	// Guarded by mu, under which closeIfIdle decides whether the connection may be closed.
+	mu           sync.Mutex
+	openRPCs     int       // RPCs that have been read and have not finished
+	readingSince time.Time // when the message being read began; zero: none is
+	closing      bool      // no further message is read
+	unsent       []byte    // answers that have not been written to the socket
+	writing      bool      // a goroutine is writing them
+
+	// The following fields belong to the event loop's goroutine.
+	dispatchConn     *dispatch.Conn
+	lastSeq          int32 // sequence number of the last RPC
+	okAnswers        int   // RPCs answered ok
+	pendingBySeq     map[int32]*pending
+	interruptedEarly map[int32]bool // RPCs whose interrupt came first, by sequence number
+	closed           bool
+	needsFlush       bool // has answers from this turn
+}
+
+// pending is an open RPC. It implements dispatch.Responder.
 type pending struct {
-	c      *conn
-	seq    int32
-	ticket uint64
-	ask    *dispatch.Request
+	conn    *conn
+	seq     int32
+	rpcID   uint64
+	request *dispatch.Request
 }
 
 func newConn(s *Server, nc net.Conn) *conn {
-	c := &conn{s: s, nc: nc, now: sockio.NewSocket(nc), asks: map[int32]*pending{}}
-	c.since.Store(time.Now().UnixNano())
+	c := &conn{server: s, netConn: nc, socket: sockio.NewSocket(nc), pendingBySeq: map[int32]*pending{}}
+	c.lastActive.Store(time.Now().UnixNano())
 	return c
 }
 
-// idle tells whether nothing is open on the connection: no RPC, no answer that waits for the socket, no message that is
-// being read, or one that has been half there for longer than half, where that is above 0.
-func (c *conn) idle(half time.Duration) bool {
+// isIdle reports whether the connection has no open RPC, no unsent answer and no message being read. A message that has
+// been incomplete for longer than partialTimeout does not count, if that is above 0.
+func (c *conn) isIdle(partialTimeout time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.idleNow(half)
+	return c.isIdleLocked(partialTimeout)
 }
 
-func (c *conn) idleNow(half time.Duration) bool {
-	stuck := half > 0 && !c.reading.IsZero() && time.Since(c.reading) > half
-	return !c.closing && c.open == 0 && len(c.out) == 0 && !c.writing && (c.reading.IsZero() || stuck)
+func (c *conn) isIdleLocked(partialTimeout time.Duration) bool {
+	stuck := partialTimeout > 0 && !c.readingSince.IsZero() && time.Since(c.readingSince) > partialTimeout
+	return !c.closing && c.openRPCs == 0 && len(c.unsent) == 0 && !c.writing && (c.readingSince.IsZero() || stuck)
 }
 
-// closeIdle closes the connection if nothing is open on it, bytes in the socket that nobody has read included. It is
-// the one place where that is decided, and takes the lock that a reader takes before it reads a message: either the
-// message comes first and the connection stays, or it is not read, and its client sends it again elsewhere. It guards
-// against RPCs that are taken on a connection that is just being closed.
-func (c *conn) closeIdle(half time.Duration) bool {
+// closeIfIdle closes the connection if it is idle and its socket has no unread bytes, and reports whether it has. This
+// is the only place where that is decided. It takes the lock that the reader takes before it reads a message, so that
+// no RPC is accepted on a connection that is being closed: either the message comes first and the connection stays
+// open, or it is not read, and the client sends it again elsewhere.
+func (c *conn) closeIfIdle(partialTimeout time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.idleNow(half) || c.reading.IsZero() && c.now.HasUnread() {
+	if !c.isIdleLocked(partialTimeout) || c.readingSince.IsZero() && c.socket.HasUnread() {
 		return false
 	}
 	c.closing = true
-	c.nc.Close()
+	c.netConn.Close()
 	return true
 }
 
-// begins notes that a message's first byte is there; false: the connection is being closed.
-func (c *conn) begins() bool {
+// beginMessage records that the first byte of a message has been received. It returns false if the connection is being
+// closed.
+func (c *conn) beginMessage() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.reading.IsZero() {
-		c.reading = time.Now()
+	if c.readingSince.IsZero() {
+		c.readingSince = time.Now()
 	}
 	return !c.closing
 }
 
-// ends notes that a message was read and handed on; more: the first bytes of the next one are here.
-func (c *conn) ends(more bool) {
+// endMessage records that a message has been read and handled. If more is set, the next one has begun.
+func (c *conn) endMessage(more bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.reading = time.Time{}
+	c.readingSince = time.Time{}
 	if more {
-		c.reading = time.Now()
+		c.readingSince = time.Now()
 	}
 }
 
-// opens counts RPCs that are open.
-func (c *conn) opens(n int) {
+// addOpenRPCs adds n to the number of open RPCs.
+func (c *conn) addOpenRPCs(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.open += n
+	c.openRPCs += n
 }
 
-func (c *conn) anyOpen() bool {
+func (c *conn) hasOpenRPCs() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.open > 0
+	return c.openRPCs > 0
 }
 
-// before tells whether c gives way before other does: neither has an open RPC.
-func (c *conn) before(other *conn) bool {
-	if a, b := c.spoke.Load(), other.spoke.Load(); a != b {
+// closesBefore reports whether c is closed before other to make room, where neither has an open RPC.
+func (c *conn) closesBefore(other *conn) bool {
+	if a, b := c.sentMessage.Load(), other.sentMessage.Load(); a != b {
 		return !a
 	}
-	return c.since.Load() < other.since.Load()
+	return c.lastActive.Load() < other.lastActive.Load()
 }
 
 func (c *conn) serve() {
 	err := c.read()
 	if err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
-		c.s.o.Log.Debug().Err(err).Str("client", c.nc.RemoteAddr().String()).Msg("a client's connection ends")
+		c.server.options.Log.Debug().Err(err).Str("client", c.netConn.RemoteAddr().String()).Msg("client connection ended with an error")
 	}
-	c.s.loop.Post(c.shut)
-	c.s.mu.Lock()
-	delete(c.s.conns, c)
-	c.s.mu.Unlock()
-	c.drain()
-	c.nc.Close()
-	c.s.held.Add(-1)
-}
-
-// drain lets answers that wait for the socket go out before it is closed.
-func (c *conn) drain() {
-	for until := time.Now().Add(strikeRest); c.waiting() > 0 && time.Now().Before(until); {
+	c.server.loop.Post(c.shutDown)
+	c.server.mu.Lock()
+	delete(c.server.conns, c)
+	c.server.mu.Unlock()
+	c.awaitUnsent()
+	c.netConn.Close()
+	c.server.openDescriptors.Add(-1)
+}
+
+// awaitUnsent waits a short time for unsent answers to be written before the connection is closed.
+func (c *conn) awaitUnsent() {
+	for until := time.Now().Add(invalidRPCPause); c.unsentBytes() > 0 && time.Now().Before(until); {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// read takes messages until the stream ends or can't be followed.
+// read reads messages until the stream ends or is malformed.
 func (c *conn) read() error {
-	r := bufio.NewReaderSize(c.nc, 1024)
-	if err := c.nc.SetReadDeadline(time.Now().Add(silentMost)); err != nil {
+	r := bufio.NewReaderSize(c.netConn, 1024)
+	if err := c.netConn.SetReadDeadline(time.Now().Add(firstMessageTimeout)); err != nil {
 		return err
 	}
 	for {
-		if c.spoke.Load() {
+		if c.sentMessage.Load() {
 			if err := c.awaitMessage(r); err != nil {
 				return err
 			}
 		} else if _, err := r.Peek(1); err != nil {
 			return err
 		}
-		if !c.begins() {
+		if !c.beginMessage() {
 			return net.ErrClosed
 		}
 		var head [4]byte
@@ -172,308 +173,312 @@
 			return err
 		}
 		n := int32(binary.BigEndian.Uint32(head[:]))
-		if n <= 0 || n > frameMost {
-			return fmt.Errorf("a frame of %d bytes, %d are taken", n, frameMost)
+		if n <= 0 || n > maxFrame {
+			return fmt.Errorf("frame of %d bytes, limit %d", n, maxFrame)
 		}
 		frame := make([]byte, n)
 		if _, err := io.ReadFull(r, frame); err != nil {
 			return err
 		}
-		c.spoke.Store(true)
-		c.since.Store(time.Now().UnixNano())
+		c.sentMessage.Store(true)
+		c.lastActive.Store(time.Now().UnixNano())
 		if err := decode(frame, c); err != nil {
 			return fmt.Errorf("message: %w", err)
 		}
-		c.ends(r.Buffered() > 0)
-		if c.strikes.Load() > 0 && c.rest() {
+		c.endMessage(r.Buffered() > 0)
+		if c.invalidRPCs.Load() > 0 && c.pauseAfterInvalid() {
 			return io.EOF
 		}
-		if strikes := c.strikes.Load(); strikes >= strikesMost && !c.anyOpen() {
-			return fmt.Errorf("%d messages that can't be served", strikes)
+		if invalid := c.invalidRPCs.Load(); invalid >= maxInvalidRPCs && !c.hasOpenRPCs() {
+			return fmt.Errorf("%d invalid RPCs in a row", invalid)
 		}
 	}
 }
 
-// rest guards the core against clients that send at full speed what can't be served: their reader waits a while. It
-// tells whether the client has gone meanwhile, so that its other RPCs don't go out for nobody.
-func (c *conn) rest() (gone bool) {
-	for until := time.Now().Add(strikeRest); time.Now().Before(until) && !gone; {
-		time.Sleep(strikeLook)
-		gone = c.now.PeerClosed()
+// pauseAfterInvalid delays reading after an invalid RPC, so that clients that send those at full speed don't occupy the
+// core. It reports whether the client has left meanwhile, so that its other RPCs are not sent to workers in vain.
+func (c *conn) pauseAfterInvalid() (clientLeft bool) {
+	for until := time.Now().Add(invalidRPCPause); time.Now().Before(until) && !clientLeft; {
+		time.Sleep(pollInterval)
+		clientLeft = c.socket.PeerClosed()
 	}
-	return gone
+	return clientLeft
 }
 
-// awaitMessage waits for a message's first byte, for as long as an RPC is open or the connection is not idle for long.
+// awaitMessage waits for the first byte of a message. It returns an error once the connection has been idle, with no
+// open RPC, for idleTimeout.
 func (c *conn) awaitMessage(r *bufio.Reader) error {
 	for r.Buffered() == 0 {
-		if err := c.nc.SetReadDeadline(time.Now().Add(idleMost)); err != nil {
+		if err := c.netConn.SetReadDeadline(time.Now().Add(idleTimeout)); err != nil {
 			return err
 		}
 		_, err := r.Peek(1)
 		if err == nil {
 			break
 		}
-		if !isTimeOut(err) || !c.anyOpen() && time.Now().UnixNano()-c.since.Load() >= int64(idleMost) {
+		if !isTimeout(err) || !c.hasOpenRPCs() && time.Now().UnixNano()-c.lastActive.Load() >= int64(idleTimeout) {
 			return err
 		}
 	}
-	return c.nc.SetReadDeadline(time.Now().Add(frameWithin))
+	return c.netConn.SetReadDeadline(time.Now().Add(messageTimeout))
 }
 
-// execute implements peer.
+// execute implements requestHandler.
 func (c *conn) execute(seq int32, fields map[string]string, body []byte) {
-	came := time.Now()
-	p, err := c.s.params(fields, body)
-	c.opens(1)
-	c.s.loop.Post(func() {
+	receivedAt := time.Now()
+	p, err := c.server.parseParams(fields, body)
+	c.addOpenRPCs(1)
+	c.server.loop.Post(func() {
 		switch {
-		case c.gone:
-			c.opens(-1)
-		case c.early[seq]: // no answer is owed
-			delete(c.early, seq)
-			c.last = max(c.last, seq)
-			c.opens(-1)
-		case seq <= c.last || len(c.asks) >= openMost: // a number that was used, or more open than the protocol allows
-			c.opens(-1)
-			c.s.o.Log.Debug().Str("client", c.nc.RemoteAddr().String()).Int32("seq", seq).Int32("last", c.last).
-				Int("open", len(c.asks)).Msg("a client breaks the order of numbers, or has too many RPCs open")
-			c.shut()
-			c.nc.Close()
+		case c.closed:
+			c.addOpenRPCs(-1)
+		case c.interruptedEarly[seq]: // needs no answer
+			delete(c.interruptedEarly, seq)
+			c.lastSeq = max(c.lastSeq, seq)
+			c.addOpenRPCs(-1)
+		case seq <= c.lastSeq || len(c.pendingBySeq) >= maxOpenRPCs: // number used before, or too many open RPCs
+			c.addOpenRPCs(-1)
+			c.server.options.Log.Debug().Str("client", c.netConn.RemoteAddr().String()).Int32("seq", seq).Int32("last", c.lastSeq).
+				Int("open", len(c.pendingBySeq)).Msg("client closed: sequence number used before, or too many open RPCs")
+			c.shutDown()
+			c.netConn.Close()
 		case err != nil:
-			c.last = seq
-			c.refuse(seq, err)
-		case !c.s.fresh(number(p.ClientRPCID), c):
-			c.last = seq
-			c.refuse(seq, errSeen)
+			c.lastSeq = seq
+			c.rejectRPC(seq, err)
+		case !c.server.acceptID(parseID(p.ClientRPCID), c):
+			c.lastSeq = seq
+			c.rejectRPC(seq, errDuplicateID)
 		default:
-			c.last = seq
-			c.strikes.Store(0)
-			a := &pending{c: c, seq: seq, ticket: number(p.ClientRPCID)}
-			c.asks[seq] = a
-			c.s.tickets[0][a.ticket] = a
-			c.s.o.Log.Debug().Float64("budget", p.TimeoutMS).Bool("again", p.Repeat).Int("method", p.Method).Msg("take")
-			a.ask = c.at().Submit(p, eventloop.FromDuration(time.Since(came)), a)
+			c.lastSeq = seq
+			c.invalidRPCs.Store(0)
+			a := &pending{conn: c, seq: seq, rpcID: parseID(p.ClientRPCID)}
+			c.pendingBySeq[seq] = a
+			c.server.recentIDs[0][a.rpcID] = a
+			c.server.options.Log.Debug().Float64("budget", p.TimeoutMS).Bool("again", p.Repeat).Int("method", p.Method).Msg("RPC received")
+			a.request = c.openDispatchConn().Submit(p, eventloop.FromDuration(time.Since(receivedAt)), a)
 		}
 	})
 }
 
-// errSeen: the id of an RPC must be new.
-var errSeen = errors.New(`"rid" was seen before`)
+// errDuplicateID rejects an RPC whose id is that of an open or recent one.
+var errDuplicateID = errors.New(`"rid" was seen before`)
 
-// refuse answers what can't be served; in a turn.
-func (c *conn) refuse(seq int32, err error) {
-	c.strikes.Add(1)
-	c.s.o.Log.Debug().Err(err).Str("client", c.nc.RemoteAddr().String()).Int32("seq", seq).Int("open", len(c.asks)).
-		Msg("an RPC that can't be served")
-	c.say(failed(seq, err.Error()))
-	c.opens(-1)
+// rejectRPC answers an invalid RPC. It must be called in a turn of the event loop.
+func (c *conn) rejectRPC(seq int32, err error) {
+	c.invalidRPCs.Add(1)
+	c.server.options.Log.Debug().Err(err).Str("client", c.netConn.RemoteAddr().String()).Int32("seq", seq).Int("open", len(c.pendingBySeq)).
+		Msg("invalid RPC rejected")
+	c.send(encodeFault(seq, err.Error()))
+	c.addOpenRPCs(-1)
 }
 
-// interrupt implements peer.
+// interrupt implements requestHandler.
 func (c *conn) interrupt(seq int32) {
-	c.s.loop.Post(func() {
-		if p := c.asks[seq]; p != nil {
-			p.ask.Abandon()
-			p.over()
-		} else if seq > c.last && len(c.early) < openMost { // it came before its RPC
-			if c.early == nil {
-				c.early = map[int32]bool{}
+	c.server.loop.Post(func() {
+		if p := c.pendingBySeq[seq]; p != nil {
+			p.request.Abandon()
+			p.finish()
+		} else if seq > c.lastSeq && len(c.interruptedEarly) < maxOpenRPCs { // received before its RPC
+			if c.interruptedEarly == nil {
+				c.interruptedEarly = map[int32]bool{}
 			}
-			c.early[seq] = true
+			c.interruptedEarly[seq] = true
 		}
 	})
 }
 
-// check implements peer.
+// check implements requestHandler.
 func (c *conn) check(seq int32) {
-	good := c.s.o.Ready()
-	c.s.loop.Post(func() { c.say(answered(callCheck, seq, nil, good)) })
+	ready := c.server.options.Ready()
+	c.server.loop.Post(func() { c.send(encodeAnswer(methodCheck, seq, nil, ready)) })
 }
 
-// displace answers an open RPC whose id belongs to another client; in a turn.
-func (p *pending) displace() {
-	p.ask.Abandon()
-	p.c.strikes.Add(1)
-	p.Rejected(errSeen.Error())
+// evict rejects an open RPC whose id belongs to another client. It must be called in a turn of the event loop.
+func (p *pending) evict() {
+	p.request.Abandon()
+	p.conn.invalidRPCs.Add(1)
+	p.Rejected(errDuplicateID.Error())
 }
 
-// at is the connection's place at the desk; in a turn.
-func (c *conn) at() *dispatch.Conn {
-	if c.desk == nil {
-		c.desk = c.s.desk.OpenConn(0)
+// openDispatchConn returns the connection's counterpart in the dispatcher, and opens it first if needed. It must be
+// called in a turn of the event loop.
+func (c *conn) openDispatchConn() *dispatch.Conn {
+	if c.dispatchConn == nil {
+		c.dispatchConn = c.server.dispatcher.OpenConn(0)
 	}
-	return c.desk
+	return c.dispatchConn
 }
 
-// shut: its client is gone, nothing is owed any more; in a turn.
-func (c *conn) shut() {
-	if c.gone {
+// shutDown abandons all open RPCs, because the client has left and needs no answers. It must be called in a turn of the
+// event loop.
+func (c *conn) shutDown() {
+	if c.closed {
 		return
 	}
-	c.gone = true
-	if len(c.asks) > 0 {
-		c.s.o.Log.Debug().Str("client", c.nc.RemoteAddr().String()).Int("open", len(c.asks)).Int32("last", c.last).
-			Msg("a connection ends with RPCs open")
+	c.closed = true
+	if len(c.pendingBySeq) > 0 {
+		c.server.options.Log.Debug().Str("client", c.netConn.RemoteAddr().String()).Int("open", len(c.pendingBySeq)).Int32("last", c.lastSeq).
+			Msg("client connection ended with open RPCs")
 	}
-	if c.desk != nil {
-		c.desk.Close()
+	if c.dispatchConn != nil {
+		c.dispatchConn.Close()
 	}
-	for _, p := range c.asks {
-		p.over()
-		c.s.forget(p.ticket)
+	for _, p := range c.pendingBySeq {
+		p.finish()
+		c.server.forgetID(p.rpcID)
 	}
 }
 
-func (p *pending) over() {
-	p.c.s.ended(p)
-	delete(p.c.asks, p.seq)
-	p.c.since.Store(time.Now().UnixNano())
-	p.c.opens(-1)
+func (p *pending) finish() {
+	p.conn.server.rpcFinished(p)
+	delete(p.conn.pendingBySeq, p.seq)
+	p.conn.lastActive.Store(time.Now().UnixNano())
+	p.conn.addOpenRPCs(-1)
 }
 
-// say hands an answer over that leaves at the turn's end; in a turn.
-func (c *conn) say(frame []byte) {
-	if c.gone {
+// send queues an answer, which is written at the end of the turn. It must be called in a turn of the event loop.
+func (c *conn) send(frame []byte) {
+	if c.closed {
 		return
 	}
 	c.mu.Lock()
-	c.out = append(c.out, frame...)
-	unread := len(c.out)
+	c.unsent = append(c.unsent, frame...)
+	unread := len(c.unsent)
 	c.mu.Unlock()
-	if unread > unreadMost {
-		c.shut()
-		c.nc.Close()
+	if unread > maxUnsentBytes {
+		c.shutDown()
+		c.netConn.Close()
 		return
 	}
-	if !c.dirty {
-		c.dirty = true
-		c.s.dirty = append(c.s.dirty, c)
+	if !c.needsFlush {
+		c.needsFlush = true
+		c.server.toFlush = append(c.server.toFlush, c)
 	}
 }
 
-// flush writes what the socket takes at once; a goroutine of its own writes the rest.
+// flush writes as much as the socket accepts without blocking, and starts a goroutine that writes the rest.
 func (c *conn) flush() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.writing {
 		return
 	}
-	c.out = c.out[c.now.TryWrite(c.out):]
-	if len(c.out) == 0 {
-		c.out = nil
+	c.unsent = c.unsent[c.socket.TryWrite(c.unsent):]
+	if len(c.unsent) == 0 {
+		c.unsent = nil
 		return
 	}
 	c.writing = true
-	go c.write()
+	go c.writeUnsent()
 }
 
-func (c *conn) write() {
+func (c *conn) writeUnsent() {
 	for {
 		c.mu.Lock()
-		out := c.out
-		if c.out = nil; len(out) == 0 {
+		batch := c.unsent
+		if c.unsent = nil; len(batch) == 0 {
 			c.writing = false
 			c.mu.Unlock()
 			return
 		}
 		c.mu.Unlock()
-		_ = c.nc.SetWriteDeadline(time.Now().Add(writeMost))
-		if _, err := c.nc.Write(out); err != nil {
-			c.nc.Close() // the reader ends, too
+		_ = c.netConn.SetWriteDeadline(time.Now().Add(writeTimeout))
+		if _, err := c.netConn.Write(batch); err != nil {
+			c.netConn.Close() // ends the reader, too
 			c.mu.Lock()
-			c.out, c.writing = nil, false
+			c.unsent, c.writing = nil, false
 			c.mu.Unlock()
 			return
 		}
 	}
 }
 
-// waiting is how many bytes of answers the socket has not taken; 1 while a goroutine writes.
-func (c *conn) waiting() int {
+// unsentBytes returns how many bytes of answers have not been written. While a goroutine is writing, it adds 1 to those
+// that are still queued.
+func (c *conn) unsentBytes() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.writing {
-		return len(c.out) + 1
+		return len(c.unsent) + 1
 	}
-	return len(c.out)
+	return len(c.unsent)
 }
 
-// OK implements front.Reply.
+// OK implements dispatch.Responder.
 func (p *pending) OK(_, blob []byte) {
-	p.c.ok++
-	p.answer(answered(callExecute, p.seq, blob, true))
+	p.conn.okAnswers++
+	p.answer(encodeAnswer(methodExecute, p.seq, blob, true))
 }
 
-// Denied implements front.Reply.
-func (p *pending) Denied(_ string, comeBack router.Time) { p.answer(refused(p.seq, comeBack)) }
+// Denied implements dispatch.Responder.
+func (p *pending) Denied(_ string, retryAfter router.Time) { p.answer(encodeShed(p.seq, retryAfter)) }
 
-// Aborted implements front.Reply.
-func (p *pending) Aborted(cause string) { p.answer(failed(p.seq, cause)) }
+// Aborted implements dispatch.Responder.
+func (p *pending) Aborted(cause string) { p.answer(encodeFault(p.seq, cause)) }
 
-// Rejected implements front.Reply.
-func (p *pending) Rejected(message string) { p.answer(failed(p.seq, message)) }
+// Rejected implements dispatch.Responder.
+func (p *pending) Rejected(message string) { p.answer(encodeFault(p.seq, message)) }
 
 func (p *pending) answer(frame []byte) {
-	p.c.say(frame) // first: a connection with nothing open and nothing to write may be closed at any time
-	p.over()
+	p.conn.send(frame) // before finish: a connection without open RPCs and unsent answers may be closed at any time
+	p.finish()
 }
 
-// params reads an RPC's fields; any goroutine may. Nothing unchecked passes here.
-func (s *Server) params(fields map[string]string, body []byte) (p dispatch.Params, err error) {
-	method, known := s.desk.MethodIndex(fields["method"])
-	budget, err := figure(fields["budget"], budgetMost)
+// parseParams parses and validates all fields of an RPC. Any goroutine may call it.
+func (s *Server) parseParams(fields map[string]string, body []byte) (p dispatch.Params, err error) {
+	method, methodKnown := s.dispatcher.MethodIndex(fields["method"])
+	budget, err := parseNumber(fields["budget"], maxBudgetMs)
 	if err != nil {
 		return p, fmt.Errorf(`"budget": %w`, err)
 	}
 	p = dispatch.Params{Method: method, Function: fields["obj"], Customer: fields["acct"], Token: fields["token"],
 		ClientRPCID: fields["rid"], TimeoutMS: budget, Blob: body, Repeat: fields["again"] != ""}
-	again, marked := fields["again"]
+	again, isRepeat := fields["again"]
 	switch {
-	case !known:
+	case !methodKnown:
 		return p, fmt.Errorf(`no method %.40q`, fields["method"])
-	case !hex(p.ClientRPCID, 16):
+	case !isHex(p.ClientRPCID, 16):
 		return p, fmt.Errorf(`"rid": %.40q is not 16 hex digits`, p.ClientRPCID)
-	case !hex(p.Function, 16):
+	case !isHex(p.Function, 16):
 		return p, fmt.Errorf(`"obj": %.40q is not 16 hex digits`, p.Function)
-	case p.Token != "" && !visible(p.Token, 64):
-		return p, errors.New(`"token" has bytes that can't be passed on`)
-	case marked && again != "1":
+	case p.Token != "" && !isVisibleASCII(p.Token, 64):
+		return p, errors.New(`"token" is not 1 to 64 visible ASCII characters`)
+	case isRepeat && again != "1":
 		return p, fmt.Errorf(`"again": %.40q is not 1`, again)
-	case len(body) > bodyMost:
-		return p, fmt.Errorf("a body of %d bytes, %d are taken", len(body), bodyMost)
+	case len(body) > maxBody:
+		return p, fmt.Errorf("body of %d bytes, limit %d", len(body), maxBody)
 	}
-	if p.FunctionSpec, err = s.copyOf(fields["facts"]); err != nil {
+	if p.FunctionSpec, err = s.parseFunctionSpec(fields["facts"]); err != nil {
 		return p, fmt.Errorf(`"facts": %w`, err)
 	}
-	return p, s.desk.Validate(&p)
+	return p, s.dispatcher.Validate(&p)
 }
 
-// copyOf reads what a copy of the function needs.
-func (s *Server) copyOf(facts string) (*engine.FunctionSpec, error) {
-	fn := &engine.FunctionSpec{}
+// parseFunctionSpec parses the resources that a copy of the function needs.
+func (s *Server) parseFunctionSpec(facts string) (*engine.FunctionSpec, error) {
+	spec := &engine.FunctionSpec{}
 	for fact := range strings.SplitSeq(facts, ";") {
 		name, value, _ := strings.Cut(fact, ":")
 		var v float64
 		var err error
 		switch name {
 		case "memory_mb":
-			fn.MemoryMB, err = figure(value, s.bounds.Load().MaxMemoryMB)
+			spec.MemoryMB, err = parseNumber(value, s.limits.Load().MaxMemoryMB)
 		case "lanes":
-			if v, err = figure(value, lanesMost); err == nil && v != float64(int(v)) {
-				err = fmt.Errorf("%.24q is not whole", value)
+			if v, err = parseNumber(value, maxLanes); err == nil && v != float64(int(v)) {
+				err = fmt.Errorf("%.24q is not an integer", value)
 			}
-			fn.Lanes = int(v)
+			spec.Lanes = int(v)
 		case "load_ms":
-			v, err = figure(value, budgetMost)
-			fn.LoadTime = router.Time(v * 10)
+			v, err = parseNumber(value, maxBudgetMs)
+			spec.LoadTime = router.Time(v * 10)
 		}
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
 	}
-	if fn.MemoryMB == 0 || fn.Lanes == 0 {
+	if spec.MemoryMB == 0 || spec.Lanes == 0 {
 		return nil, errors.New("memory_mb or lanes is missing")
 	}
-	return fn, nil
+	return spec, nil
 }
--- a/internal/thrift/server.go
+++ b/internal/thrift/server.go
@@ -19,80 +19,80 @@
 // Options are a server's settings.
 type Options struct {
 	Limits
-	Ready func() bool // what check answers; any goroutine may ask
+	Ready func() bool // the answer to a readiness check; called from any goroutine
 	Log   zerolog.Logger
 }
 
 // Limits are the settings that may change while a server runs.
 type Limits struct {
-	MaxConnections int     // at once; beyond that one without an open RPC gives way
-	MaxMemoryMB    float64 // MB of a copy: the largest worker's
+	MaxConnections int     // at the limit, an idle connection is closed for a new one
+	MaxMemoryMB    float64 // limit of a copy's memory: the largest worker's
 }
 
 const (
-	openMost    = 32              // RPCs open on one connection, by the protocol
-	silentMost  = 2 * time.Second // from connecting to a first whole message; bad clients are owed a close within 3 s
-	frameWithin = 2 * time.Second // from a message's first byte to its last
-	idleMost    = 6 * time.Second // without an open RPC; clients close after 4 s themselves
-	writeMost   = 2 * time.Second // a client that takes no byte for so long is cut off
-	unreadMost  = 1 << 20         // bytes of answers that wait for a slow reader before it is cut off
-	strikesMost = 3               // messages that can't be served before a connection is closed
-	strikeRest  = 50 * time.Millisecond
-	strikeLook  = 5 * time.Millisecond  // how often the reader looks meanwhile whether the client has gone
-	halfRead    = 50 * time.Millisecond // a usual client's message is whole by then; one that is not may give way
-	closeWithin = 20 * time.Millisecond // for so long the descriptor of one that gave way is waited for
-	ticketsFor  = 5 * time.Second       // an RPC's id is known again for so long at the least, twice that at the most
+	maxOpenRPCs           = 32                    // on one connection; set by the protocol
+	firstMessageTimeout   = 2 * time.Second       // until a first message; silent clients must be closed within 3 s
+	messageTimeout        = 2 * time.Second       // from a message's first byte to its last
+	idleTimeout           = 6 * time.Second       // without an open RPC; clients close after 4 s themselves
+	writeTimeout          = 2 * time.Second       // without progress of a write, before the connection is closed
+	maxUnsentBytes        = 1 << 20               // of answers to a slow reader, before its connection is closed
+	maxInvalidRPCs        = 3                     // in a row, before the connection is closed
+	invalidRPCPause       = 50 * time.Millisecond // before the next message is read after an invalid RPC
+	pollInterval          = 5 * time.Millisecond  // between checks during that pause whether the client has left
+	partialMessageTimeout = 50 * time.Millisecond // ordinary messages are complete by then; others may be closed
+	closeTimeout          = 20 * time.Millisecond // to wait for the descriptor of a connection closed to make room
+	rpcIDRetention        = 5 * time.Second       // least time that an RPC's id is remembered; the most is twice that
 )
 
-// Server takes connections. The last fields belong to the loop's goroutine.
+// Server accepts clients' connections. Its last group of fields belongs to the event loop's goroutine.
 type Server struct {
-	o      Options
-	bounds atomic.Pointer[Limits]
-	loop   *eventloop.Loop
-	desk   *dispatch.Dispatcher
-	held   atomic.Int32 // descriptors of connections, from their accept to the end of their close
-	mu     sync.Mutex
-	conns  map[*conn]bool
+	options         Options
+	limits          atomic.Pointer[Limits]
+	loop            *eventloop.Loop
+	dispatcher      *dispatch.Dispatcher
+	openDescriptors atomic.Int32 // of connections, from accept until close has returned
+	mu              sync.Mutex
+	conns           map[*conn]bool
 
-	now     router.Time
-	dirty   []*conn                // with answers of this turn
-	tickets [2]map[uint64]*pending // ids seen lately, nil where the RPC is over; the second from before the last change
-	changed router.Time
+	now       router.Time
+	toFlush   []*conn                // connections with answers from this turn
+	recentIDs [2]map[uint64]*pending // RPCs by id, nil once finished; [1] holds those from before rotatedAt
+	rotatedAt router.Time
 }
 
-// New makes a server for a desk that loop drives.
+// New returns a server for a dispatcher that runs on the event loop.
 func New(loop *eventloop.Loop, d *dispatch.Dispatcher, o Options) *Server {
-	s := &Server{o: o, loop: loop, desk: d, conns: map[*conn]bool{}, tickets: [2]map[uint64]*pending{{}, {}}}
-	s.bounds.Store(&o.Limits)
+	s := &Server{options: o, loop: loop, dispatcher: d, conns: map[*conn]bool{}, recentIDs: [2]map[uint64]*pending{{}, {}}}
+	s.limits.Store(&o.Limits)
 	return s
 }
 
-// UpdateSettings takes new bounds; any goroutine may call it. Connections beyond a lower one give way at once, as far as they
-// have no open RPC.
+// UpdateSettings replaces the limits. Any goroutine may call it. If there are more connections than the new limit, idle
+// ones are closed at once.
 func (s *Server) UpdateSettings(b Limits) {
-	s.bounds.Store(&b)
-	for left := int(s.held.Load()); left > b.MaxConnections && s.giveWay(); left-- {
+	s.limits.Store(&b)
+	for left := int(s.openDescriptors.Load()); left > b.MaxConnections && s.closeOneIdle(); left-- {
 	}
 }
 
-// Serve takes connections until the listener is closed.
+// Serve accepts connections until the listener is closed or StopAccepting is called.
 func (s *Server) Serve(l net.Listener) error {
 	for {
 		nc, err := l.Accept()
-		if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) { // see Last
+		if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) { // see StopAccepting
 			return nil
 		}
-		if err != nil { // out of descriptors, or gone before it was taken
-			s.o.Log.Warn().Err(err).Msg("accept")
-			s.giveWay()
-			time.Sleep(strikeLook)
+		if err != nil { // out of descriptors, or the client closed before accept
+			s.options.Log.Warn().Err(err).Msg("accept failed")
+			s.closeOneIdle()
+			time.Sleep(pollInterval)
 			continue
 		}
 		if !s.makeRoom() {
 			nc.Close()
 			continue
 		}
-		s.held.Add(1)
+		s.openDescriptors.Add(1)
 		c := newConn(s, nc)
 		s.mu.Lock()
 		s.conns[c] = true
@@ -101,41 +101,43 @@
 	}
 }
 
-// StopAccepting has Serve take what waits in the listener's backlog, and return: a listener that is just closed resets it.
+// StopAccepting makes Serve accept the connections in the listener's backlog and return. Closing the listener would
+// reset them.
 func StopAccepting(l net.Listener) {
-	if tcp, is := l.(*net.TCPListener); is && tcp.SetDeadline(time.Now().Add(closeWithin)) == nil {
+	if tcp, is := l.(*net.TCPListener); is && tcp.SetDeadline(time.Now().Add(closeTimeout)) == nil {
 		return
 	}
 	l.Close()
 }
 
-// makeRoom tells whether one more connection may be held, and closes another for it where all places are taken. Each
-// counts until its descriptor is closed: one that gave way is waited for.
+// makeRoom reports whether one more connection may be accepted. At the limit it closes an idle one first and waits for
+// its descriptor to be closed, since the connection counts until then.
 func (s *Server) makeRoom() bool {
-	full := func() bool { return int(s.held.Load()) >= s.bounds.Load().MaxConnections }
+	full := func() bool { return int(s.openDescriptors.Load()) >= s.limits.Load().MaxConnections }
 	if !full() {
 		return true
 	}
-	if !s.giveWay() {
+	if !s.closeOneIdle() {
 		return false
 	}
-	for until := time.Now().Add(closeWithin); full() && time.Now().Before(until); {
+	for until := time.Now().Add(closeTimeout); full() && time.Now().Before(until); {
 		time.Sleep(time.Millisecond)
 	}
 	return !full()
 }
 
-// giveWay closes a connection that nothing is open on: one that never sent a whole message, the first come first, else
-// the one longest without an open RPC, else one whose message has been half there for long. It guards usual clients
-// against those that connect by hundreds and say nothing. It tells whether there was one.
-func (s *Server) giveWay() bool {
-	stay := map[*conn]bool{} // a message of it came meanwhile
-	for half := time.Duration(0); half <= halfRead; half += halfRead {
+// closeOneIdle closes an idle connection and reports whether there was one. It prefers connections that have never sent
+// a complete message, the oldest first, then the one that has been idle for longest, then one with a message that has
+// been incomplete for long. This protects ordinary clients from clients that open hundreds of connections and send
+// nothing.
+func (s *Server) closeOneIdle() bool {
+	keep := map[*conn]bool{} // received a message meanwhile
+	for partialTimeout := time.Duration(0); partialTimeout <= partialMessageTimeout; partialTimeout += partialMessageTimeout {
 		for {
 			s.mu.Lock()
 			var victim *conn
 			for c := range s.conns {
-				if !stay[c] && c.idle(half) && (victim == nil || c.before(victim)) {
+				if !keep[c] && c.isIdle(partialTimeout) && (victim == nil || c.closesBefore(victim)) {
 					victim = c
 				}
 			}
@@ -143,59 +145,59 @@
 			if victim == nil {
 				break
 			}
-			if victim.closeIdle(half) {
+			if victim.closeIfIdle(partialTimeout) {
 				return true
 			}
-			stay[victim] = true
+			keep[victim] = true
 		}
 	}
 	return false
 }
 
-// CloseIdle closes connections without an open RPC, and tells how many are left.
+// CloseIdle closes all idle connections and returns how many are left.
 func (s *Server) CloseIdle() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		c.closeIdle(0)
+		c.closeIfIdle(0)
 	}
 	return len(s.conns)
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		c.nc.Close()
+		c.netConn.Close()
 	}
 }
 
-// BeginTurn tells the time of a turn.
+// BeginTurn sets the time of a turn of the event loop and discards old RPC ids.
 func (s *Server) BeginTurn(now router.Time) {
-	if s.now = now; now-s.changed >= eventloop.FromDuration(ticketsFor) {
-		s.tickets, s.changed = [2]map[uint64]*pending{{}, s.tickets[0]}, now
+	if s.now = now; now-s.rotatedAt >= eventloop.FromDuration(rpcIDRetention) {
+		s.recentIDs, s.rotatedAt = [2]map[uint64]*pending{{}, s.recentIDs[0]}, now
 	}
 }
 
-// FlushTurn sends the turn's answers; it may be called in a turn alone, at its end.
+// FlushTurn sends the answers of a turn. It must be called at the end of the turn.
 func (s *Server) FlushTurn() {
-	for i, c := range s.dirty {
-		c.dirty = false
+	for i, c := range s.toFlush {
+		c.needsFlush = false
 		c.flush()
-		s.dirty[i] = nil
+		s.toFlush[i] = nil
 	}
-	s.dirty = s.dirty[:0]
+	s.toFlush = s.toFlush[:0]
 }
 
-// fresh tells whether an RPC's id may be taken from a connection. One that was seen lately may not, but for an RPC that
-// is open for a client which was answered ok less often: it gives way. That guards usual clients against one that
-// sends their ids before they do.
-func (s *Server) fresh(ticket uint64, c *conn) bool {
-	for _, tickets := range s.tickets {
-		if p, seen := tickets[ticket]; p != nil && p.c.ok < c.ok && p.c != c {
-			p.displace()
-			s.forget(ticket)
+// acceptID reports whether an RPC with this id is accepted on a connection. The id of an open or recent RPC is
+// rejected, unless that RPC is open for another client with fewer ok answers, which is then evicted. This protects
+// ordinary clients from one that sends their ids before they do.
+func (s *Server) acceptID(rpcID uint64, c *conn) bool {
+	for _, ids := range s.recentIDs {
+		if p, seen := ids[rpcID]; p != nil && p.conn.okAnswers < c.okAnswers && p.conn != c {
+			p.evict()
+			s.forgetID(rpcID)
 		} else if seen {
 			return false
 		}
@@ -203,25 +205,25 @@
 	return true
 }
 
-// ended notes that an RPC is over; its id stays known for a while.
-func (s *Server) ended(p *pending) {
-	for _, tickets := range s.tickets {
-		if tickets[p.ticket] == p {
-			tickets[p.ticket] = nil
+// rpcFinished records that an RPC has finished. Its id stays known for a while.
+func (s *Server) rpcFinished(p *pending) {
+	for _, ids := range s.recentIDs {
+		if ids[p.rpcID] == p {
+			ids[p.rpcID] = nil
 		}
 	}
 }
 
-// forget has an id be fresh again: its connection ended before its answer, and its client may send it once more.
-func (s *Server) forget(ticket uint64) {
-	delete(s.tickets[0], ticket)
-	delete(s.tickets[1], ticket)
+// forgetID removes an id, because its connection ended before the answer and its client may send the RPC again.
+func (s *Server) forgetID(rpcID uint64) {
+	delete(s.recentIDs[0], rpcID)
+	delete(s.recentIDs[1], rpcID)
 }
 
-func number(ticket string) uint64 {
-	n, _ := strconv.ParseUint(ticket, 16, 64) // it is 16 hex digits
+func parseID(rpcID string) uint64 {
+	n, _ := strconv.ParseUint(rpcID, 16, 64) // parseParams has checked for 16 hex digits
 	return n
 }
 
-// isTimeOut tells whether a read or write met its deadline.
-func isTimeOut(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
+// isTimeout reports whether a read or write has passed its deadline.
+func isTimeout(err error) bool { return errors.Is(err, os.ErrDeadlineExceeded) }
--- a/internal/thrift/server_test.go
+++ b/internal/thrift/server_test.go
@@ -18,51 +18,51 @@
 	"mallowlanding/router"
 )
 
-const patience = 5 * time.Second
+const testTimeout = 5 * time.Second
 
-// machine gives a server its turns.
-type machine struct {
+// loopHandler handles turns of the event loop for a server and its engine.
+type loopHandler struct {
 	*engine.Engine
-	s *Server
+	server *Server
 }
 
-// BeginTurn begins a turn.
-func (m machine) BeginTurn(now router.Time) { m.s.BeginTurn(now); m.Engine.BeginTurn(now) }
+// BeginTurn implements eventloop.Handler.
+func (m loopHandler) BeginTurn(now router.Time) { m.server.BeginTurn(now); m.Engine.BeginTurn(now) }
 
-// EndTurn ends a turn.
-func (m machine) EndTurn() { m.Engine.EndTurn(); m.s.FlushTurn() }
+// EndTurn implements eventloop.Handler.
+func (m loopHandler) EndTurn() { m.Engine.EndTurn(); m.server.FlushTurn() }
 
-// serve runs a server without workers; over is closed once it takes no more connections.
-func serve(t *testing.T, b Limits) (s *Server, l net.Listener, over chan bool) {
+// startServer starts a server without workers. The caller runs Serve and closes done once it has returned.
+func startServer(t *testing.T, limits Limits) (s *Server, l net.Listener, done chan bool) {
 	before := goleak.IgnoreCurrent()
 	loop := eventloop.NewLoop()
 	e := engine.New(engine.Options{Settings: router.Settings{}, Now: loop.Now(), Log: func(string) {}})
-	s = New(loop, dispatch.New(e, dispatch.Options{NoJoin: true}), Options{Limits: b, Ready: func() bool { return true }, Log: zerolog.Nop()})
+	s = New(loop, dispatch.New(e, dispatch.Options{NoJoin: true}), Options{Limits: limits, Ready: func() bool { return true }, Log: zerolog.Nop()})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan bool)
-	go func() { loop.Run(ctx, machine{e, s}); close(ended) }()
-	over = make(chan bool)
+	go func() { loop.Run(ctx, loopHandler{e, s}); close(ended) }()
+	done = make(chan bool)
 	t.Cleanup(func() {
 		l.Close()
-		<-over
+		<-done
 		s.Close()
-		until(t, "connections end", func() bool { return s.held.Load() == 0 })
+		waitFor(t, "connections end", func() bool { return s.openDescriptors.Load() == 0 })
 		stop()
 		<-ended
 		goleak.VerifyNone(t, before)
 	})
-	return s, l, over
+	return s, l, done
 }
 
-func until(t *testing.T, what string, is func() bool) {
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !is(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: not so", what)
+			t.Fatalf("%s: not in time", what)
 		}
 	}
 }
@@ -77,76 +77,76 @@
 	return nc
 }
 
-// ended tells whether a connection has ended, as its client sees it.
-func ended(nc net.Conn) bool {
+// isClosed reports whether the server has closed a client's connection.
+func isClosed(nc net.Conn) bool {
 	_ = nc.SetReadDeadline(time.Now().Add(time.Millisecond))
 	_, err := nc.Read(make([]byte, 1))
 	return err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// TestLast: connections that wait in the listener's backlog as it closes are taken, not reset.
-func TestLast(t *testing.T) {
-	s, l, over := serve(t, Limits{MaxConnections: 16})
-	var all []net.Conn
-	for range 8 { // nobody takes them yet
-		all = append(all, dial(t, l))
+// TestStopAccepting checks that connections in the listener's backlog are accepted, not reset, before it is closed.
+func TestStopAccepting(t *testing.T) {
+	s, l, done := startServer(t, Limits{MaxConnections: 16})
+	var conns []net.Conn
+	for range 8 { // Serve does not run yet
+		conns = append(conns, dial(t, l))
 	}
 	StopAccepting(l)
-	go func() { _ = s.Serve(l); close(over) }()
-	<-over
+	go func() { _ = s.Serve(l); close(done) }()
+	<-done
 	l.Close()
-	if n := s.held.Load(); n != 8 {
-		t.Errorf("%d connections were taken", n)
+	if n := s.openDescriptors.Load(); n != 8 {
+		t.Errorf("%d connections were accepted, want 8", n)
 	}
-	for i, nc := range all {
-		if ended(nc) {
-			t.Errorf("connection %d has ended", i)
+	for i, nc := range conns {
+		if isClosed(nc) {
+			t.Errorf("connection %d is closed", i)
 		}
 	}
 }
 
-// TestHeld: with all places taken by clients that say nothing, one that comes makes one of them go, and no more
-// descriptors are held than allowed.
-func TestHeld(t *testing.T) {
-	const most = 4
-	s, l, over := serve(t, Limits{MaxConnections: most})
-	go func() { _ = s.Serve(l); close(over) }()
-	var all []net.Conn
-	for range 5 * most {
-		all = append(all, dial(t, l))
-		if n := s.held.Load(); n > most {
-			t.Fatalf("%d are held, %d may be", n, most)
+// TestMaxConnections checks that at the limit a new connection closes one of a client that has sent nothing, and that
+// no more descriptors are open than allowed.
+func TestMaxConnections(t *testing.T) {
+	const maxConns = 4
+	s, l, done := startServer(t, Limits{MaxConnections: maxConns})
+	go func() { _ = s.Serve(l); close(done) }()
+	var conns []net.Conn
+	for range 5 * maxConns {
+		conns = append(conns, dial(t, l))
+		if n := s.openDescriptors.Load(); n > maxConns {
+			t.Fatalf("%d descriptors are open, limit %d", n, maxConns)
 		}
 	}
-	until(t, "all but the latest have ended", func() bool {
+	waitFor(t, "all but the latest connections are closed", func() bool {
 		n := 0
-		for _, nc := range all {
-			if !ended(nc) {
+		for _, nc := range conns {
+			if !isClosed(nc) {
 				n++
 			}
 		}
-		return n == most
+		return n == maxConns
 	})
-	if ended(all[len(all)-1]) {
-		t.Error("the latest one was not taken")
+	if isClosed(conns[len(conns)-1]) {
+		t.Error("the latest connection was not accepted")
 	}
 	s.UpdateSettings(Limits{MaxConnections: 1})
-	until(t, "with a lower bound all but one end", func() bool { return s.held.Load() == 1 })
+	waitFor(t, "all but one connection are closed at a lower limit", func() bool { return s.openDescriptors.Load() == 1 })
 }
 
-// TestCloseIdle: what a connection is closed for is decided once. A message that has begun keeps it; once it is decided,
-// no message begins.
+// TestCloseIdle checks that a connection is not closed while a message is being read or an RPC is open, and that no
+// message begins once it has been decided to close the connection.
 func TestCloseIdle(t *testing.T) {
-	s, l, over := serve(t, Limits{MaxConnections: 4})
-	go func() { _ = s.Serve(l); close(over) }()
-	one := func() *conn {
+	s, l, done := startServer(t, Limits{MaxConnections: 4})
+	go func() { _ = s.Serve(l); close(done) }()
+	connect := func() *conn {
 		nc := dial(t, l)
 		var c *conn
-		until(t, "it is taken", func() bool {
+		waitFor(t, "the connection is accepted", func() bool {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			for other := range s.conns {
-				if other.nc.RemoteAddr().String() == nc.LocalAddr().String() {
+				if other.netConn.RemoteAddr().String() == nc.LocalAddr().String() {
 					c = other
 				}
 			}
@@ -154,42 +154,43 @@
 		})
 		return c
 	}
-	c := one()
-	if !c.begins() {
+	c := connect()
+	if !c.beginMessage() {
 		t.Error("a message could not begin")
 	}
-	if c.closeIdle(0) {
-		t.Error("closed while a message is read")
+	if c.closeIfIdle(0) {
+		t.Error("closed while a message is being read")
 	}
-	c.opens(1)
-	c.ends(false)
-	if c.closeIdle(0) {
+	c.addOpenRPCs(1)
+	c.endMessage(false)
+	if c.closeIfIdle(0) {
 		t.Error("closed with an RPC open")
 	}
-	c.opens(-1)
-	if !c.closeIdle(0) {
-		t.Error("not closed with nothing open")
+	c.addOpenRPCs(-1)
+	if !c.closeIfIdle(0) {
+		t.Error("not closed without open RPCs")
 	}
-	if c.begins() {
-		t.Error("a message begins on a connection that is being closed")
+	if c.beginMessage() {
+		t.Error("a message began on a connection that is being closed")
 	}
-	if c.closeIdle(0) {
+	if c.closeIfIdle(0) {
 		t.Error("closed twice")
 	}
 
-	c = one()
-	c.begins()
+	c = connect()
+	c.beginMessage()
 	c.mu.Lock()
-	c.reading = time.Now().Add(-2 * halfRead)
+	c.readingSince = time.Now().Add(-2 * partialMessageTimeout)
 	c.mu.Unlock()
-	if c.closeIdle(0) || !c.closeIdle(halfRead) {
-		t.Error("a message that is half there for long gives way only where nothing else does")
+	if c.closeIfIdle(0) || !c.closeIfIdle(partialMessageTimeout) {
+		t.Error("a connection with an old incomplete message must be closed with a partial timeout, and only then")
 	}
 }
 
-// TestUnread: bytes that came, and that no reader has seen, keep a connection from being closed.
-func TestUnread(t *testing.T) {
-	s := &Server{o: Options{Log: zerolog.Nop()}, conns: map[*conn]bool{}}
+// TestUnreadBytesPreventClose checks that a connection with bytes that the reader has not seen yet is not closed as
+// idle.
+func TestUnreadBytesPreventClose(t *testing.T) {
+	s := &Server{options: Options{Log: zerolog.Nop()}, conns: map[*conn]bool{}}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -201,28 +202,28 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	c := newConn(s, nc)                                // nobody reads it
-	if _, err := client.Write([]byte{0}); err != nil { // on loopback it is there when Write returns
+	c := newConn(s, nc)                                // no reader runs
+	if _, err := client.Write([]byte{0}); err != nil { // on loopback it has arrived when Write returns
 		t.Fatal(err)
 	}
-	if c.closeIdle(0) {
+	if c.closeIfIdle(0) {
 		t.Fatal("closed with a byte unread")
 	}
 	s.conns[c] = true
-	gave := make(chan bool, 1)
-	go func() { gave <- s.giveWay() }()
+	closedOne := make(chan bool, 1)
+	go func() { closedOne <- s.closeOneIdle() }()
 	select {
-	case is := <-gave:
+	case is := <-closedOne:
 		if is {
-			t.Fatal("it gave way with a byte unread")
+			t.Fatal("closeOneIdle closed a connection with a byte unread")
 		}
-	case <-time.After(patience):
-		t.Fatal("a connection that can't give way is tried for ever")
+	case <-time.After(testTimeout):
+		t.Fatal("closeOneIdle does not return if no connection can be closed")
 	}
 	if _, err := io.ReadFull(nc, make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
-	if !c.closeIdle(0) {
-		t.Error("not closed once it is read")
+	if !c.closeIfIdle(0) {
+		t.Error("not closed after the byte was read")
 	}
 }
