--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -81,10 +81,10 @@
 
 	slack time.Duration
 
-	mu       sync.Mutex
-	address  string
-	conn     *httpconn.Conn
-	askAgain bool // the request in flight is dropped for a new one
+	mu           sync.Mutex
+	address      string
+	conn         *httpconn.Conn
+	requestAgain bool // the request in flight is dropped for a new one
 }
 
 // New returns a Feed that follows the service at the address once Run is called.
@@ -113,21 +113,22 @@
 	}
 }
 
-// AskAgain drops the request in flight and sends a new one: its response may be older than one that is requested now.
-func (f *Feed) AskAgain() {
+// RequestAgain drops the request in flight and sends a new one: its response may be older than one that is requested
+// now.
+func (f *Feed) RequestAgain() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.askAgain = true; f.conn != nil {
+	if f.requestAgain = true; f.conn != nil {
 		f.conn.Close()
 	}
 }
 
-// takeAskAgain reports whether AskAgain has been called since the last call of takeAskAgain.
-func (f *Feed) takeAskAgain() bool {
+// takeRequestAgain reports whether RequestAgain has been called since the last call of takeRequestAgain.
+func (f *Feed) takeRequestAgain() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	requested := f.askAgain
-	f.askAgain = false
+	requested := f.requestAgain
+	f.requestAgain = false
 	return requested
 }
 
@@ -160,7 +161,7 @@
 
 // request sends one request and applies its response.
 func (f *Feed) request(ctx context.Context) error {
-	if f.takeAskAgain() {
+	if f.takeRequestAgain() {
 		f.lastRequestOK = false
 	}
 	f.mu.Lock()
@@ -195,25 +196,25 @@
 	b = strconv.AppendInt(append(b, "&max_wait="...), requestWait.Milliseconds(), 10)
 	b = append(append(append(b, " HTTP/1.1\r\nHost: "...), address...), "\r\n\r\n"...)
 	began := time.Now()
-	a, reusable, err := conn.Exchange(b, began.Add(maxWait+f.slack), maxBody)
+	resp, reusable, err := conn.Exchange(b, began.Add(maxWait+f.slack), maxBody)
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		f.slack = min(2*f.slack, maxSlack)
 		f.onExpiry(time.Now(), began.Add(requestWait+waitExpiry))
-	case errors.Is(err, httpconn.ErrBadAnswer):
+	case errors.Is(err, httpconn.ErrBadResponse):
 		f.onExpiry(time.Now(), time.Now().Add(breakExpiry))
 	case err == nil:
 		f.slack = minSlack
 	}
 	posBefore := f.lastPos
 	if err == nil {
-		err = f.handleResponse(address, a, began)
+		err = f.handleResponse(address, resp, began)
 	}
 	f.lastRequestOK = err == nil
 	if err != nil || !reusable {
 		f.dropConn(conn)
 	}
-	if f.moved(address) || err != nil && f.takeAskAgain() { // the feed broke off itself, so the service is not at fault
+	if f.moved(address) || err != nil && f.takeRequestAgain() { // the feed itself closed the connection
 		f.lastRequestOK = false
 		return nil
 	}
@@ -226,14 +227,14 @@
 
 // handleResponse applies a response of the service at the address. It ignores the response if the address has changed:
 // the new service reports the same events.
-func (f *Feed) handleResponse(address string, a httpconn.Answer, askedAt time.Time) error {
+func (f *Feed) handleResponse(address string, resp httpconn.Response, askedAt time.Time) error {
 	switch {
 	case f.moved(address):
 		return errors.New("the journal service's address has changed")
-	case a.Status != http.StatusOK:
-		return fmt.Errorf("status %d", a.Status)
+	case resp.Status != http.StatusOK:
+		return fmt.Errorf("status %d", resp.Status)
 	}
-	return f.Apply(a.Body, askedAt)
+	return f.Apply(resp.Body, askedAt)
 }
 
 // moved reports whether the feed no longer follows the service at the address.
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -268,10 +268,10 @@
 	s := newService(t)
 	tf := startFeed(t, s)
 	for range 4 {
-		a := s.expectRequest(0)
+		req := s.expectRequest(0)
 		select {
 		case <-time.After(maxWait + 2*minSlack + minSlack/2):
-			a.respond(responseJSON(entryJSON(1, true, "a=active")))
+			req.respond(responseJSON(entryJSON(1, true, "a=active")))
 		case again := <-s.requests: // the feed has timed out
 			s.requests <- again
 			continue
@@ -305,7 +305,7 @@
 func TestResponseOfFormerService(t *testing.T) {
 	calls := 0
 	f := New("127.0.0.1:1", func([]Event, time.Time) { calls++ }, ignoreExpiry, zerolog.Nop())
-	full := httpconn.Answer{Status: http.StatusOK, Body: []byte(responseJSON(entryJSON(1, true, "a=active")))}
+	full := httpconn.Response{Status: http.StatusOK, Body: []byte(responseJSON(entryJSON(1, true, "a=active")))}
 	f.SetAddress("127.0.0.1:2")
 	if err := f.handleResponse("127.0.0.1:1", full, time.Now()); err == nil || calls > 0 || f.lastPos > 0 {
 		t.Errorf("error %v, %d calls, at event %d", err, calls, f.lastPos)
@@ -346,7 +346,7 @@
 			f := New("127.0.0.1:1", func(_ []Event, confirmed time.Time) { asOf = confirmed }, ignoreExpiry, zerolog.Nop())
 			for _, body := range c.responses {
 				asOf = time.Time{}
-				_ = f.handleResponse("127.0.0.1:1", httpconn.Answer{Status: http.StatusOK, Body: []byte(body)}, askedAt)
+				_ = f.handleResponse("127.0.0.1:1", httpconn.Response{Status: http.StatusOK, Body: []byte(body)}, askedAt)
 			}
 			if asOf.IsZero() == c.confirmed {
 				t.Errorf("confirmed as of %v", asOf)
@@ -368,14 +368,14 @@
 	}
 }
 
-// TestAskAgain checks that the request in flight is dropped and a new one is sent.
-func TestAskAgain(t *testing.T) {
+// TestRequestAgain checks that the request in flight is dropped and a new one is sent.
+func TestRequestAgain(t *testing.T) {
 	s := newService(t)
 	tf := startFeed(t, s)
 	s.expectRequest(0).respond(responseJSON(entryJSON(1, true, "a=active")))
 	tf.expectEvents("1 whole a=1")
 	s.expectRequest(1)
-	tf.feed.AskAgain()
+	tf.feed.RequestAgain()
 	s.expectRequest(1).respond(responseJSON(entryJSON(2, false, "a=leaving")))
 	tf.expectEvents("2 changes a=2")
 }
@@ -398,9 +398,9 @@
 	}
 	s.expectRequest(0).respond(responseJSON(entryJSON(1, true, "a=active")))
 	tf.expectEvents("1 whole a=1")
-	a := s.expectRequest(1)
-	fmt.Fprint(a.conn, "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{")
-	a.conn.Close()
+	req := s.expectRequest(1)
+	fmt.Fprint(req.conn, "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{")
+	req.conn.Close()
 	expectExpiry(breakExpiry-time.Millisecond, breakExpiry+time.Millisecond)
 	s.expectRequest(1).respond(responseJSON(entryJSON(2, false, "a=leaving")))
 	tf.expectEvents("2 changes a=2")
--- a/internal/httpconn/httpconn.go
+++ b/internal/httpconn/httpconn.go
@@ -26,8 +26,8 @@
 // ErrNotSent means that the request was not written completely, so it never ran.
 var ErrNotSent = errors.New("request not sent completely")
 
-// ErrBadAnswer means that a response came that is malformed, truncated or too large.
-var ErrBadAnswer = errors.New("malformed response")
+// ErrBadResponse means that a response came that is malformed, truncated or too large.
+var ErrBadResponse = errors.New("malformed response")
 
 // Conn is a connection for one exchange at a time.
 type Conn struct {
@@ -37,8 +37,8 @@
 	reader  *bufio.Reader
 }
 
-// Answer is a complete response.
-type Answer struct {
+// Response is a complete response.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -85,45 +85,45 @@
 
 // Exchange sends a message, or the bytes that WriteNow has left of it, and reads the response, whose body may have up
 // to maxBody bytes. The connection can't be used after an error; reusable reports whether it can after a response.
-func (c *Conn) Exchange(message []byte, deadline time.Time, maxBody int64) (a Answer, reusable bool, err error) {
+func (c *Conn) Exchange(message []byte, deadline time.Time, maxBody int64) (response Response, reusable bool, err error) {
 	if err := c.netConn.SetDeadline(deadline); err != nil {
-		return a, false, fmt.Errorf("%w: %w", ErrNotSent, err)
+		return response, false, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
 	if len(message) > 0 {
 		if _, err := c.netConn.Write(message); err != nil {
-			return a, false, fmt.Errorf("%w: %w", ErrNotSent, err)
+			return response, false, fmt.Errorf("%w: %w", ErrNotSent, err)
 		}
 	}
 	var resp *http.Response
 	c.limited.N = maxHeader
 	if _, err := c.reader.Peek(1); err != nil { // no response has begun, so it is not a malformed one
-		return a, false, c.readError(err)
+		return response, false, c.readError(err)
 	}
 	for i := 0; ; i++ {
 		c.limited.N = maxHeader
 		if resp, err = http.ReadResponse(c.reader, nil); err != nil {
-			return a, false, c.readError(err)
+			return response, false, c.readError(err)
 		}
 		if resp.StatusCode >= 200 {
 			break
 		}
 		if i >= maxInterim || resp.StatusCode == http.StatusSwitchingProtocols {
-			return a, false, fmt.Errorf("%w: status %d", ErrBadAnswer, resp.StatusCode)
+			return response, false, fmt.Errorf("%w: status %d", ErrBadResponse, resp.StatusCode)
 		}
 	}
 	chunked := len(resp.TransferEncoding) > 0
 	if resp.ContentLength > maxBody || resp.ContentLength < 0 && !chunked {
-		return a, false, fmt.Errorf("%w: body of %d bytes, limit %d", ErrBadAnswer, resp.ContentLength, maxBody)
+		return response, false, fmt.Errorf("%w: body of %d bytes, limit %d", ErrBadResponse, resp.ContentLength, maxBody)
 	}
 	c.limited.N = maxBody + maxHeader // chunks have headers, too
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBody+1))
 	if err != nil {
-		return a, false, c.readError(err)
+		return response, false, c.readError(err)
 	}
 	if int64(len(body)) > maxBody {
-		return a, false, fmt.Errorf("%w: body of more than %d bytes", ErrBadAnswer, maxBody)
+		return response, false, fmt.Errorf("%w: body of more than %d bytes", ErrBadResponse, maxBody)
 	}
-	return Answer{resp.StatusCode, resp.Header, body}, c.reader.Buffered() == 0 && !resp.Close, nil
+	return Response{resp.StatusCode, resp.Header, body}, c.reader.Buffered() == 0 && !resp.Close, nil
 }
 
 // readError distinguishes failures of the connection and timeouts from responses that can't be parsed.
@@ -133,9 +133,9 @@
 	case errors.As(err, &opErr): // a reset, a call of Close, or the deadline
 		return err
 	case c.limited.N <= 0:
-		return fmt.Errorf("%w: header or body exceeds the limit", ErrBadAnswer)
+		return fmt.Errorf("%w: header or body exceeds the limit", ErrBadResponse)
 	case errors.Is(err, io.EOF):
 		return err
 	}
-	return fmt.Errorf("%w: %w", ErrBadAnswer, err)
+	return fmt.Errorf("%w: %w", ErrBadResponse, err)
 }
--- a/internal/httpconn/httpconn_test.go
+++ b/internal/httpconn/httpconn_test.go
@@ -11,7 +11,7 @@
 const testMaxBody = 1 << 10
 
 // exchangeWith performs one exchange with a peer that answers with the given bytes and closes the connection.
-func exchangeWith(t testing.TB, response []byte) (Answer, bool, error) {
+func exchangeWith(t testing.TB, response []byte) (Response, bool, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -63,9 +63,9 @@
 		{"endless header", "HTTP/1.1 200 OK\r\nX: " + string(endless), "", false, true},
 		{"no response", "", "", false, true},
 	} {
-		a, reusable, err := exchangeWith(t, []byte(c.response))
-		if (err != nil) != c.wantErr || string(a.Body) != c.body || reusable != c.reusable {
-			t.Errorf("%s: body %q, reusable %t, error %v", c.name, a.Body, reusable, err)
+		got, reusable, err := exchangeWith(t, []byte(c.response))
+		if (err != nil) != c.wantErr || string(got.Body) != c.body || reusable != c.reusable {
+			t.Errorf("%s: body %q, reusable %t, error %v", c.name, got.Body, reusable, err)
 		}
 		if errors.Is(err, ErrNotSent) {
 			t.Errorf("%s: reported as not sent: %v", c.name, err)
--- a/internal/httplink/httplink.go
+++ b/internal/httplink/httplink.go
@@ -257,7 +257,7 @@
 
 // result is the outcome of an exchange: a response if err is nil.
 type result struct {
-	httpconn.Answer
+	httpconn.Response
 	err   error
 	local bool // not sent for a reason that says nothing about the worker: out of descriptors, link removed, cancelled
 }
@@ -284,8 +284,8 @@
 // run performs the exchange and posts its result to the event loop.
 func (x *exchange) run(conn *httpconn.Conn) {
 	began := time.Now()
-	a, conn, reusable, err := x.send(conn)
-	res := result{Answer: a, err: err}
+	resp, conn, reusable, err := x.send(conn)
+	res := result{Response: resp, err: err}
 	for _, localErr := range []error{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, errCancelled} {
 		res.local = res.local || errors.Is(err, localErr) // says nothing about the worker
 	}
@@ -294,8 +294,8 @@
 	}
 	x.cancel()
 	if ev := x.options.Log.Debug(); ev != nil {
-		ev.Str("worker", x.link.name).Str("what", x.label).Int("status", a.Status).AnErr("error", err).
-			Str("remark", a.Header.Get("X-Remark")).Str("company", a.Header.Get("X-Company")).Str("meter", a.Header.Get("X-Meter")).
+		ev.Str("worker", x.link.name).Str("what", x.label).Int("status", resp.Status).AnErr("error", err).
+			Str("remark", resp.Header.Get("X-Remark")).Str("company", resp.Header.Get("X-Company")).Str("meter", resp.Header.Get("X-Meter")).
 			Dur("took", time.Since(began)).Msg("exchange with worker ended")
 	}
 	x.link.set.loop.Post(func() {
@@ -321,7 +321,7 @@
 
 // send writes the message and reads the response. A message that was not written completely is sent again on a new
 // connection, up to maxExtraConns times.
-func (x *exchange) send(conn *httpconn.Conn) (a httpconn.Answer, used *httpconn.Conn, reusable bool, err error) {
+func (x *exchange) send(conn *httpconn.Conn) (resp httpconn.Response, used *httpconn.Conn, reusable bool, err error) {
 	for attemptsLeft := maxExtraConns; ; attemptsLeft-- {
 		if conn == nil {
 			conn, err = x.options.Dialer.Dial(x.ctx, x.link.address, min(x.options.ConnectTimeout, time.Until(x.deadline)))
@@ -332,15 +332,15 @@
 				err = errors.Join(errCancelled, err)
 			}
 			if err != nil {
-				return a, nil, false, errors.Join(httpconn.ErrNotSent, err)
+				return resp, nil, false, errors.Join(httpconn.ErrNotSent, err)
 			}
 		}
 		var n int
 		if n, err = x.sendFirstBytes(conn); err == nil {
-			a, reusable, err = conn.Exchange(x.message[n:], x.deadline, maxBody)
+			resp, reusable, err = conn.Exchange(x.message[n:], x.deadline, maxBody)
 		}
 		if !errors.Is(err, httpconn.ErrNotSent) || errors.Is(err, errCancelled) || errors.Is(err, errExpired) || attemptsLeft == 0 {
-			return a, conn, reusable, err
+			return resp, conn, reusable, err
 		}
 		conn.Close()
 		conn = nil
@@ -408,7 +408,7 @@
 		return router.Full
 	case errors.Is(r.err, httpconn.ErrNotSent):
 		return router.ConnectFailed
-	case errors.Is(r.err, httpconn.ErrBadAnswer): // the connection is at fault, not the function; the request has run
+	case errors.Is(r.err, httpconn.ErrBadResponse): // the connection is at fault, not the function; the request has run
 		return router.Reset
 	case errors.As(r.err, &netErr) && netErr.Timeout():
 		return router.TimedOut
--- a/internal/httplink/httplink_test.go
+++ b/internal/httplink/httplink_test.go
@@ -275,7 +275,7 @@
 	}{
 		{result{err: httpconn.ErrNotSent, local: true}, router.Full},
 		{result{err: errors.Join(httpconn.ErrNotSent, context.DeadlineExceeded)}, router.ConnectFailed},
-		{result{err: httpconn.ErrBadAnswer}, router.Reset},
+		{result{err: httpconn.ErrBadResponse}, router.Reset},
 		{result{err: io.EOF}, router.Reset},
 		{result{err: net.ErrClosed}, router.Cancelled},
 	} {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -110,7 +110,7 @@
 	f.epoch = f.loop.Now() - router.Time(time.Now().UnixMicro()/100)
 	f.engine = engine.New(engine.Options{Settings: c.RouterSettings, Seed: c.Seed, Now: f.loop.Now(), AnswerMargin: eventloop.FromDuration(answerMargin),
 		Log:      func(text string) { f.log.Info().Str("from", "module").Msg(text) },
-		OnGiveUp: f.logGiveUp, Subscribe: func() { f.feed.AskAgain() }})
+		OnGiveUp: f.logGiveUp, Subscribe: func() { f.feed.RequestAgain() }})
 	f.dispatcher = dispatch.New(f.engine, dispatch.Options{Methods: c.Methods, Customers: c.Customers, AnswerMargin: eventloop.FromDuration(answerMargin), NoJoin: true})
 	f.links = httplink.New(f.loop, f.engine, f.linkOptions(c))
 	f.server = thrift.New(f.loop, f.dispatcher, thrift.Options{Limits: c.thriftLimits(), Ready: f.ready, Log: f.log})
--- a/internal/thrift/codec.go
+++ b/internal/thrift/codec.go
@@ -167,11 +167,11 @@
 }
 
 // encodeAnswer encodes a reply with an Answer: a body, and whether it is good.
-func encodeAnswer(name string, seq int32, body []byte, ready bool) []byte {
+func encodeAnswer(name string, seq int32, body []byte, good bool) []byte {
 	return encodeReply(name, seq, wire.REPLY, func(ctx context.Context, w *wire.TBinaryProtocol) error {
 		return errors.Join(w.WriteFieldBegin(ctx, "success", wire.STRUCT, 0),
 			w.WriteFieldBegin(ctx, "body", wire.STRING, 1), w.WriteBinary(ctx, body), writeMap(ctx, w, 2),
-			w.WriteFieldBegin(ctx, "good", wire.BOOL, 3), w.WriteBool(ctx, ready),
+			w.WriteFieldBegin(ctx, "good", wire.BOOL, 3), w.WriteBool(ctx, good),
 			w.WriteFieldStop(ctx), w.WriteFieldStop(ctx))
 	})
 }
--- a/internal/thrift/conn.go
+++ b/internal/thrift/conn.go
@@ -343,9 +343,9 @@
 	}
 	c.mu.Lock()
 	c.unsent = append(c.unsent, frame...)
-	unread := len(c.unsent)
+	unsent := len(c.unsent)
 	c.mu.Unlock()
-	if unread > maxUnsentBytes {
+	if unsent > maxUnsentBytes {
 		c.shutDown()
 		c.netConn.Close()
 		return
--- a/internal/thrift/server.go
+++ b/internal/thrift/server.go
@@ -38,7 +38,7 @@
 	maxUnsentBytes        = 1 << 20               // of answers to a slow reader, before its connection is closed
 	maxInvalidRPCs        = 3                     // in a row, before the connection is closed
 	invalidRPCPause       = 50 * time.Millisecond // before the next message is read after an invalid RPC
-	pollInterval          = 5 * time.Millisecond  // between checks during that pause whether the client has left
+	pollInterval          = 5 * time.Millisecond  // between checks whether the client left; after a failed accept
 	partialMessageTimeout = 50 * time.Millisecond // ordinary messages are complete by then; others may be closed
 	closeTimeout          = 20 * time.Millisecond // to wait for the descriptor of a connection closed to make room
 	rpcIDRetention        = 5 * time.Second       // least time that an RPC's id is remembered; the most is twice that
@@ -214,7 +214,8 @@
 	}
 }
 
-// forgetID removes an id, because its connection ended before the answer and its client may send the RPC again.
+// forgetID makes an id acceptable again, for instance because its connection ended before the answer and its client may
+// send the RPC again.
 func (s *Server) forgetID(rpcID uint64) {
 	delete(s.recentIDs[0], rpcID)
 	delete(s.recentIDs[1], rpcID)
