--- /dev/null
+++ b/internal/sockio/sockio.go
@@ -0,0 +1,88 @@
+// Package sockio writes to sockets and inspects them without blocking.
+package sockio
+
+import (
+	"errors"
+	"net"
+	"syscall"
+
+	"golang.org/x/sys/unix"
+)
+
+// Socket writes to a connection without blocking and reports what its socket knows about the peer. No other goroutine
+// may write to the connection during TryWrite.
+type Socket struct{ raw syscall.RawConn }
+
+// NewSocket returns a Socket for the connection. If the connection has no file descriptor, TryWrite writes nothing.
+func NewSocket(conn net.Conn) Socket {
+	if sysConn, ok := conn.(syscall.Conn); ok {
+		if raw, err := sysConn.SyscallConn(); err == nil {
+			return Socket{raw}
+		}
+	}
+	return Socket{}
+}
+
+// TryWrite writes as many bytes as the socket accepts without blocking and returns their number. It ignores errors,
+// because the next blocking write returns them.
+func (s Socket) TryWrite(b []byte) (n int) {
+	if s.raw == nil {
+		return 0
+	}
+	n, _ = TryWrite(s.raw, b)
+	return n
+}
+
+// TryWrite writes as many bytes as the socket accepts without blocking and returns their number. Writing none because
+// the send buffer is full is not an error.
+func TryWrite(raw syscall.RawConn, b []byte) (n int, err error) {
+	var writeErr error
+	err = raw.Write(func(fd uintptr) bool {
+		n, writeErr = unix.Write(int(fd), b)
+		return true
+	})
+	if writeErr == unix.EAGAIN || writeErr == unix.EINTR {
+		writeErr = nil
+	}
+	return max(n, 0), errors.Join(err, writeErr)
+}
+
+// HasUnread reports whether bytes have been received that nobody has read.
+func (s Socket) HasUnread() bool {
+	if s.raw == nil {
+		return false
+	}
+	n, err := peek(s.raw)
+	return err == nil && n > 0
+}
+
+// IsIdle reports whether the connection is open and has no unread bytes.
+func IsIdle(raw syscall.RawConn) bool {
+	_, err := peek(raw)
+	return err == unix.EAGAIN
+}
+
+// peek checks for a next byte without consuming it. It returns 0 bytes if the peer has closed its sending side.
+func peek(raw syscall.RawConn) (n int, err error) {
+	controlErr := raw.Control(func(fd uintptr) {
+		var b [1]byte
+		n, _, err = unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+	})
+	if controlErr != nil {
+		return 0, controlErr
+	}
+	return n, err
+}
+
+// PeerClosed reports whether the peer has closed the connection, even if bytes received before that are unread.
+func (s Socket) PeerClosed() (hungUp bool) {
+	if s.raw == nil {
+		return false
+	}
+	err := s.raw.Control(func(fd uintptr) {
+		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+		n, err := unix.Poll(fds, 0)
+		hungUp = err == nil && n > 0
+	})
+	return hungUp || err != nil
+}
