--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -15,28 +15,29 @@
 	"mallowlanding/internal/control/wire"
 )
 
-// lookAgain is the pause before all instances are asked again who leads.
-const lookAgain = 10 * time.Millisecond
+// leaderRetryInterval is the pause between two rounds of looking for the leader among all instances.
+const leaderRetryInterval = 10 * time.Millisecond
 
-// redial is how soon an instance is looked for again that was not there: one that begins anew takes some ten ms.
-var redial = backoff.Config{BaseDelay: 10 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: 300 * time.Millisecond}
+// redialBackoff is the backoff for connecting to an instance that was not reachable. It starts low because a restart
+// of an instance takes some 10 ms.
+var redialBackoff = backoff.Config{BaseDelay: 10 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: 300 * time.Millisecond}
 
-// Client reaches the instance that leads.
+// Client sends requests to the instance that leads.
 type Client struct {
 	sockets []string
 	conns   []*grpc.ClientConn
 }
 
-// Dial makes a client for an operator's commands; nothing is connected yet.
+// Dial returns a client for an operator's commands. It does not connect yet.
 func Dial(sockets []string) (*Client, error) {
 	if len(sockets) == 0 {
-		return nil, errors.New("no socket of a control service is named")
+		return nil, errors.New("no control service socket given")
 	}
 	c := &Client{sockets: sockets}
 	for _, socket := range sockets {
 		cc, err := grpc.NewClient("unix:"+socket, grpc.WithTransportCredentials(insecure.NewCredentials()),
-			grpc.WithConnectParams(grpc.ConnectParams{Backoff: redial, MinConnectTimeout: time.Second}),
-			grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(textBound), grpc.MaxCallSendMsgSize(textBound)))
+			grpc.WithConnectParams(grpc.ConnectParams{Backoff: redialBackoff, MinConnectTimeout: time.Second}),
+			grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes), grpc.MaxCallSendMsgSize(maxMessageBytes)))
 		if err != nil {
 			c.Close()
 			return nil, err
@@ -46,62 +47,63 @@
 	return c, nil
 }
 
-// Close ends the connections.
+// Close closes the connections.
 func (c *Client) Close() {
 	for _, cc := range c.conns {
 		cc.Close()
 	}
 }
 
-// Leader finds the instance that leads, until the context ends.
+// Leader looks for the instance that leads until it finds it or the context ends.
 func (c *Client) Leader(ctx context.Context) (wire.ConfigurationClient, *wire.StatusResponse, error) {
-	var last error
+	var lastErr error
 	for {
 		for i, cc := range c.conns {
-			w := wire.NewConfigurationClient(cc)
-			one, end := context.WithTimeout(ctx, time.Second)
-			st, err := w.Status(one, &wire.StatusRequest{})
-			end()
+			client := wire.NewConfigurationClient(cc)
+			statusCtx, cancel := context.WithTimeout(ctx, time.Second)
+			st, err := client.Status(statusCtx, &wire.StatusRequest{})
+			cancel()
 			if err == nil {
-				return w, st, nil
+				return client, st, nil
 			}
-			last = fmt.Errorf("%s: %s", c.sockets[i], status.Convert(err).Message())
+			lastErr = fmt.Errorf("%s: %s", c.sockets[i], status.Convert(err).Message())
 		}
 		select {
 		case <-ctx.Done():
-			return nil, nil, fmt.Errorf("no instance of the control service leads: %w", last)
-		case <-time.After(lookAgain):
+			return nil, nil, fmt.Errorf("no instance of the control service is the leader: %w", lastErr)
+		case <-time.After(leaderRetryInterval):
 		}
 	}
 }
 
-// Submit numbers a configuration. An error that is not one of the configuration's may hide that it was numbered.
+// Submit sends a configuration to be numbered. After an error other than a rejection, the configuration may have been
+// numbered all the same.
 func (c *Client) Submit(ctx context.Context, r *wire.SubmitRequest) (uint64, error) {
 	for {
-		w, _, err := c.Leader(ctx)
+		leader, _, err := c.Leader(ctx)
 		if err != nil {
 			return 0, err
 		}
-		a, err := w.Submit(ctx, r)
+		resp, err := leader.Submit(ctx, r)
 		if err == nil {
-			return a.Version, nil
+			return resp.Version, nil
 		}
-		if status.Code(err) != codes.FailedPrecondition { // that one proves that it was not taken
+		if status.Code(err) != codes.FailedPrecondition { // only a FailedPrecondition proves that it was not numbered
 			return 0, errors.New(status.Convert(err).Message())
 		}
 	}
 }
 
-// Rollback goes back to a version; 0: to the one accepted before the last.
+// Rollback rolls version to out again under a new number; 0 stands for the one accepted before the current one.
 func (c *Client) Rollback(ctx context.Context, to uint64, by, note string) (uint64, error) {
 	for {
-		w, _, err := c.Leader(ctx)
+		leader, _, err := c.Leader(ctx)
 		if err != nil {
 			return 0, err
 		}
-		a, err := w.Rollback(ctx, &wire.RollbackRequest{Version: to, By: by, Note: note})
+		resp, err := leader.Rollback(ctx, &wire.RollbackRequest{Version: to, By: by, Note: note})
 		if err == nil {
-			return a.Version, nil
+			return resp.Version, nil
 		}
 		if status.Code(err) != codes.FailedPrecondition {
 			return 0, errors.New(status.Convert(err).Message())
@@ -109,15 +111,15 @@
 	}
 }
 
-// Get shows a version; 0: the one that is accepted.
+// Get returns version v; 0 stands for the accepted one.
 func (c *Client) Get(ctx context.Context, v uint64) (*wire.GetResponse, error) {
-	w, _, err := c.Leader(ctx)
+	leader, _, err := c.Leader(ctx)
 	if err != nil {
 		return nil, err
 	}
-	a, err := w.Get(ctx, &wire.GetRequest{Version: v})
+	resp, err := leader.Get(ctx, &wire.GetRequest{Version: v})
 	if err != nil {
 		return nil, errors.New(status.Convert(err).Message())
 	}
-	return a, nil
+	return resp, nil
 }
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,6 +1,7 @@
-// Package control is one instance of the stand-in control service: it numbers configurations, streams them to followers,
-// and rolls them out in stages. Three instances agree on everything through the Raft library; what one has told as
-// numbered is on the disks of a majority. internal/rollout decides; this package does streams and the store.
+// Package control implements one instance of the stand-in control service. The service numbers configurations, streams
+// them to followers and rolls them out in stages. Its instances (three, usually) replicate their state by Raft, so a
+// version number that a client has received is on the disks of a majority. Package rollout makes the decisions; this
+// package has the streams and the store.
 package control
 
 import (
@@ -34,34 +35,34 @@
 )
 
 const (
-	gather     = 20 * time.Millisecond  // reports that come within it are agreed on together
-	pace       = 50 * time.Millisecond  // of the rollout's looks
-	agreement  = 5 * time.Second        // a proposal that is not agreed on by then has failed
-	dialBound  = time.Second            // of one connection between instances
-	lookAtLead = 100 * time.Millisecond // a stream ends so soon after its instance has lost the lead
-	snapshots  = 2                      // kept
-	logBatch   = 4096                   // log entries between snapshots
-	partsKept  = 16                     // versions whose parts are kept at hand
-	textBound  = 64 << 20               // bytes of one configuration
+	reportBatchWindow   = 20 * time.Millisecond  // reports received within this window are proposed together
+	tickInterval        = 50 * time.Millisecond  // between ticks of a rollout
+	applyTimeout        = 5 * time.Second        // a proposal that is not committed by then has failed
+	dialTimeout         = time.Second            // for a connection between instances
+	leaderCheckInterval = 100 * time.Millisecond // how often a stream checks that its instance is still the leader
+	retainedSnapshots   = 2                      // on disk
+	snapshotThreshold   = 4096                   // log entries between snapshots
+	maxCachedVersions   = 16                     // versions whose parsed resources are cached
+	maxMessageBytes     = 64 << 20               // bytes of one gRPC message
 )
 
-// Network is how instances reach each other; tests bring one that is cut.
+// Network connects to the peer socket of another instance. Tests inject one that can be partitioned.
 type Network func(ctx context.Context, socket string) (net.Conn, error)
 
 func unixNetwork(ctx context.Context, socket string) (net.Conn, error) {
 	return (&net.Dialer{}).DialContext(ctx, "unix", socket)
 }
 
-// command is what instances agree on.
+// command is one entry of the Raft log.
 type command struct {
-	Now     rollout.Millis    `json:"now"`
-	Submit  *submit           `json:"submit,omitempty"`
-	Back    *back             `json:"rollback,omitempty"`
-	Reports []rollout.Report  `json:"reports,omitempty"`
-	Set     *rollout.Settings `json:"settings,omitempty"`
+	Now      rollout.Millis    `json:"now"`
+	Submit   *submitCommand    `json:"submit,omitempty"`
+	Rollback *rollbackCommand  `json:"rollback,omitempty"`
+	Reports  []rollout.Report  `json:"reports,omitempty"`
+	Settings *rollout.Settings `json:"settings,omitempty"`
 }
 
-type submit struct {
+type submitCommand struct {
 	Text   string          `json:"text"`
 	Digest string          `json:"digest"`
 	By     string          `json:"by"`
@@ -69,70 +70,71 @@
 	Base   rollout.Version `json:"base"`
 }
 
-type back struct {
+type rollbackCommand struct {
 	To   rollout.Version `json:"to"`
 	By   string          `json:"by"`
 	Note string          `json:"note"`
 }
 
-type numbered struct {
+type applyResult struct {
 	version rollout.Version
 	err     error
 }
 
-// machine is the state that instances agree on. It is raft.FSM.
-type machine struct {
+// stateMachine is the replicated state. It implements raft.FSM.
+type stateMachine struct {
 	mu      sync.Mutex
-	clock   rollout.Millis // never falls, whoever leads
+	clock   rollout.Millis // never goes back, even when the leader changes
 	state   *rollout.State
-	changed chan struct{} // closed and replaced with each change
+	changed chan struct{} // closed and replaced at each change
 	log     zerolog.Logger
 }
 
 // Apply implements raft.FSM.
-func (m *machine) Apply(l *raft.Log) any {
+func (m *stateMachine) Apply(entry *raft.Log) any {
 	var c command
-	if err := json.Unmarshal(l.Data, &c); err != nil { // an instance of another make: all skip it alike
-		m.log.Error().Err(err).Msg("a command can't be read")
-		return numbered{err: err}
+	if err := json.Unmarshal(entry.Data, &c); err != nil { // written by another program version; every instance skips it
+		m.log.Error().Err(err).Msg("cannot decode a command of the Raft log; skipping it")
+		return applyResult{err: err}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.clock = max(m.clock, c.Now)
-	was, candidate := m.state.Stable, m.state.Candidate
-	var out numbered
-	if c.Set != nil {
-		m.state.Settings = *c.Set
+	stable, candidate := m.state.Stable, m.state.Candidate
+	var result applyResult
+	if c.Settings != nil {
+		m.state.Settings = *c.Settings
 	}
 	for _, r := range c.Reports {
 		m.state.RecordReport(m.clock, r)
 	}
 	if s := c.Submit; s != nil {
-		out.version, out.err = m.state.Submit(m.clock, s.Text, s.Digest, s.By, s.Note, s.Base)
+		result.version, result.err = m.state.Submit(m.clock, s.Text, s.Digest, s.By, s.Note, s.Base)
 	}
-	if b := c.Back; b != nil {
-		out.version, out.err = m.state.Rollback(m.clock, b.To, b.By, b.Note)
+	if b := c.Rollback; b != nil {
+		result.version, result.err = m.state.Rollback(m.clock, b.To, b.By, b.Note)
 	}
 	m.state.Tick(m.clock)
-	m.tell(was, candidate)
+	m.logTransitions(stable, candidate)
 	close(m.changed)
 	m.changed = make(chan struct{})
-	return out
+	return result
 }
 
-// tell logs a change of what is accepted or rolled out.
-func (m *machine) tell(stable, candidate rollout.Version) {
+// logTransitions logs the end and the start of rollouts and a new accepted version, given the stable version and the
+// candidate before the change.
+func (m *stateMachine) logTransitions(stable, candidate rollout.Version) {
 	s := m.state
 	if candidate != s.Candidate && candidate != 0 {
 		if e := s.Entries[candidate]; e != nil {
-			m.log.Info().Uint64("version", uint64(candidate)).Str("state", e.State).Str("reason", e.Reason).Msg("a rollout has ended")
+			m.log.Info().Uint64("version", uint64(candidate)).Str("state", e.State).Str("reason", e.Reason).Msg("rollout ended")
 		}
 	}
 	if s.Candidate != candidate && s.Candidate != 0 {
-		m.log.Info().Uint64("version", uint64(s.Candidate)).Int("followers", len(s.Followers)).Msg("a rollout begins")
+		m.log.Info().Uint64("version", uint64(s.Candidate)).Int("followers", len(s.Followers)).Msg("rollout started")
 	}
 	if s.Stable != stable {
-		m.log.Info().Uint64("version", uint64(s.Stable)).Uint64("before", uint64(stable)).Msg("accepted")
+		m.log.Info().Uint64("version", uint64(s.Stable)).Uint64("before", uint64(stable)).Msg("version accepted")
 	}
 }
 
@@ -141,32 +143,32 @@
 	State *rollout.State `json:"state"`
 }
 
-type frozen []byte
+type snapshotData []byte
 
 // Snapshot implements raft.FSM.
-func (m *machine) Snapshot() (raft.FSMSnapshot, error) {
+func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	raw, err := json.Marshal(snapshot{m.clock, m.state})
-	return frozen(raw), err
+	data, err := json.Marshal(snapshot{m.clock, m.state})
+	return snapshotData(data), err
 }
 
 // Persist implements raft.FSMSnapshot.
-func (f frozen) Persist(to raft.SnapshotSink) error {
-	if _, err := to.Write(f); err != nil {
-		return errors.Join(err, to.Cancel())
+func (f snapshotData) Persist(sink raft.SnapshotSink) error {
+	if _, err := sink.Write(f); err != nil {
+		return errors.Join(err, sink.Cancel())
 	}
-	return to.Close()
+	return sink.Close()
 }
 
 // Release implements raft.FSMSnapshot.
-func (f frozen) Release() {}
+func (f snapshotData) Release() {}
 
 // Restore implements raft.FSM.
-func (m *machine) Restore(from io.ReadCloser) error {
-	defer from.Close()
+func (m *stateMachine) Restore(reader io.ReadCloser) error {
+	defer reader.Close()
 	var s snapshot
-	if err := json.NewDecoder(from).Decode(&s); err != nil {
+	if err := json.NewDecoder(reader).Decode(&s); err != nil {
 		return err
 	}
 	m.mu.Lock()
@@ -177,118 +179,119 @@
 	return nil
 }
 
-// layer carries the library's streams over Unix sockets.
-type layer struct {
+// streamLayer carries Raft connections over Unix sockets.
+type streamLayer struct {
 	net.Listener
 	dial Network
 }
 
 // Dial implements raft.StreamLayer.
-func (l layer) Dial(to raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	ctx, end := context.WithTimeout(context.Background(), min(timeout, dialBound))
-	defer end()
-	return l.dial(ctx, string(to))
+func (l streamLayer) Dial(address raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), min(timeout, dialTimeout))
+	defer cancel()
+	return l.dial(ctx, string(address))
 }
 
-// service is one instance.
+// service is one instance of the control service.
 type service struct {
 	wire.UnimplementedConfigurationServer
-	set     *settings.Control
-	log     zerolog.Logger
-	raft    *raft.Raft
-	m       *machine
-	ctx     context.Context
-	reports chan rollout.Report
-	term    atomic.Uint64 // in which this instance leads and knows all that was agreed on before
+	config    *settings.Control
+	log       zerolog.Logger
+	raft      *raft.Raft
+	fsm       *stateMachine
+	ctx       context.Context
+	reports   chan rollout.Report
+	readyTerm atomic.Uint64 // term in which this instance leads and has applied all earlier entries
 
-	mu    sync.Mutex
-	parts map[rollout.Version][]settings.Resource
+	mu        sync.Mutex
+	resources map[rollout.Version][]settings.Resource
 }
 
-// Serve runs an instance until the context ends. Ready is called once it can be asked.
-func Serve(ctx context.Context, c *settings.Control, log zerolog.Logger, ready func()) error {
-	return ServeOver(ctx, c, log, ready, unixNetwork)
+// Serve runs an instance until the context ends. It calls ready, unless nil, once the instance accepts connections.
+func Serve(ctx context.Context, config *settings.Control, log zerolog.Logger, ready func()) error {
+	return ServeOver(ctx, config, log, ready, unixNetwork)
 }
 
-// ServeOver is Serve over a network of the caller's.
-func ServeOver(ctx context.Context, c *settings.Control, log zerolog.Logger, ready func(), dial Network) (err error) {
-	log = log.With().Str("control", c.Name).Logger()
-	shares, err := c.Roll.Shares()
+// ServeOver is like Serve, with dial as the network between the instances.
+func ServeOver(ctx context.Context, config *settings.Control, log zerolog.Logger, ready func(), dial Network) (err error) {
+	log = log.With().Str("control", config.Name).Logger()
+	shares, err := config.Roll.Shares()
 	if err != nil {
 		return err
 	}
-	set := rollout.Settings{Stages: shares, Hold: rollout.Millis(c.Roll.Hold / 10), AnswerTimeout: rollout.Millis(c.Roll.AnswerTimeout / 10),
-		LiveTimeout: rollout.Millis(c.Roll.LiveTimeout / 10), MaxRefusedShare: c.Roll.MaxRefusedShare, MaxOKDrop: c.Roll.MaxOKDrop, MinRPCs: uint64(c.Roll.MinRPCs)}
-	if err := os.MkdirAll(c.Dir, 0o700); err != nil {
+	rolloutSettings := rollout.Settings{Stages: shares, Hold: rollout.Millis(config.Roll.Hold / 10),
+		AnswerTimeout: rollout.Millis(config.Roll.AnswerTimeout / 10), LiveTimeout: rollout.Millis(config.Roll.LiveTimeout / 10),
+		MaxRefusedShare: config.Roll.MaxRefusedShare, MaxOKDrop: config.Roll.MaxOKDrop, MinRPCs: uint64(config.Roll.MinRPCs)}
+	if err := os.MkdirAll(config.Dir, 0o700); err != nil {
 		return err
 	}
-	// bbolt syncs each transaction before it is told as done: what was acknowledged is on disk, as far as fsync keeps
-	// its word, and a process killed at any byte finds the last whole transaction
-	store, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(c.Dir, "log.db")})
+	// bbolt syncs each transaction before it reports it as committed: acknowledged entries are on disk, as far as fsync
+	// can be trusted, and a process that is killed in the middle of a write finds the last complete transaction.
+	store, err := raftboltdb.New(raftboltdb.Options{Path: filepath.Join(config.Dir, "log.db")})
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
 	defer func() { err = errors.Join(err, store.Close()) }()
-	snaps, err := raft.NewFileSnapshotStoreWithLogger(c.Dir, snapshots, library(log))
+	snapshotStore, err := raft.NewFileSnapshotStoreWithLogger(config.Dir, retainedSnapshots, raftLogger(log))
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
-	between, err := clients.Listen(c.Peers, 0o600)
+	peerListener, err := clients.Listen(config.Peers, 0o600)
 	if err != nil {
 		return err
 	}
-	transport := raft.NewNetworkTransportWithLogger(layer{between, dial}, 3, time.Second, library(log))
+	transport := raft.NewNetworkTransportWithLogger(streamLayer{peerListener, dial}, 3, time.Second, raftLogger(log))
 	defer transport.Close()
-	conf := raft.DefaultConfig()
-	beat := time.Duration(c.Beat) * 100 * time.Microsecond
-	conf.LocalID, conf.Logger = raft.ServerID(c.Name), library(log)
-	conf.HeartbeatTimeout, conf.ElectionTimeout, conf.LeaderLeaseTimeout = beat, beat, beat/2
-	conf.CommitTimeout = beat / 10
-	conf.SnapshotThreshold, conf.TrailingLogs = logBatch, logBatch
-	m := &machine{state: rollout.New(set), changed: make(chan struct{}), log: log}
-	r, err := raft.NewRaft(conf, m, store, store, snaps, transport)
+	raftConfig := raft.DefaultConfig()
+	heartbeat := time.Duration(config.Beat) * 100 * time.Microsecond
+	raftConfig.LocalID, raftConfig.Logger = raft.ServerID(config.Name), raftLogger(log)
+	raftConfig.HeartbeatTimeout, raftConfig.ElectionTimeout, raftConfig.LeaderLeaseTimeout = heartbeat, heartbeat, heartbeat/2
+	raftConfig.CommitTimeout = heartbeat / 10
+	raftConfig.SnapshotThreshold, raftConfig.TrailingLogs = snapshotThreshold, snapshotThreshold
+	fsm := &stateMachine{state: rollout.New(rolloutSettings), changed: make(chan struct{}), log: log}
+	node, err := raft.NewRaft(raftConfig, fsm, store, store, snapshotStore, transport)
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
-	defer func() { err = errors.Join(err, r.Shutdown().Error()) }()
-	members := raft.Configuration{Servers: []raft.Server{{ID: conf.LocalID, Address: raft.ServerAddress(c.Peers)}}}
-	for _, o := range c.Others {
-		members.Servers = append(members.Servers, raft.Server{ID: raft.ServerID(o.Name), Address: raft.ServerAddress(o.Socket)})
+	defer func() { err = errors.Join(err, node.Shutdown().Error()) }()
+	cluster := raft.Configuration{Servers: []raft.Server{{ID: raftConfig.LocalID, Address: raft.ServerAddress(config.Peers)}}}
+	for _, other := range config.Others {
+		cluster.Servers = append(cluster.Servers, raft.Server{ID: raft.ServerID(other.Name), Address: raft.ServerAddress(other.Socket)})
 	}
-	if err := r.BootstrapCluster(members).Error(); err != nil && !errors.Is(err, raft.ErrCantBootstrap) {
+	if err := node.BootstrapCluster(cluster).Error(); err != nil && !errors.Is(err, raft.ErrCantBootstrap) {
 		return err
 	}
-	ctx, end := context.WithCancel(ctx)
-	defer end()
-	s := &service{set: c, log: log, raft: r, m: m, ctx: ctx, reports: make(chan rollout.Report, 1024),
-		parts: map[rollout.Version][]settings.Resource{}}
-	l, err := clients.Listen(c.Socket, 0o600)
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	s := &service{config: config, log: log, raft: node, fsm: fsm, ctx: ctx, reports: make(chan rollout.Report, 1024),
+		resources: map[rollout.Version][]settings.Resource{}}
+	listener, err := clients.Listen(config.Socket, 0o600)
 	if err != nil {
 		return err
 	}
-	g := grpc.NewServer(grpc.MaxRecvMsgSize(textBound),
+	server := grpc.NewServer(grpc.MaxRecvMsgSize(maxMessageBytes),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: time.Second}))
-	wire.RegisterConfigurationServer(g, s)
-	var all sync.WaitGroup
-	all.Go(func() { s.gatherReports(ctx) })
-	all.Go(func() { s.tick(ctx, set) })
-	stop := context.AfterFunc(ctx, g.Stop)
+	wire.RegisterConfigurationServer(server, s)
+	var background sync.WaitGroup
+	background.Go(func() { s.batchReports(ctx) })
+	background.Go(func() { s.runTicks(ctx, rolloutSettings) })
+	stop := context.AfterFunc(ctx, server.Stop)
 	defer stop()
-	log.Info().Str("socket", c.Socket).Int("instances", len(members.Servers)).Msg("control service takes followers")
+	log.Info().Str("socket", config.Socket).Int("instances", len(cluster.Servers)).Msg("control service is ready for followers")
 	if ready != nil {
 		ready()
 	}
-	err = g.Serve(l)
+	err = server.Serve(listener)
 	if ctx.Err() != nil {
 		err = nil
 	}
-	end()
-	all.Wait()
+	cancel()
+	background.Wait()
 	return err
 }
 
-// library has the consensus library's warnings in our log.
-func library(log zerolog.Logger) hclog.Logger {
+// raftLogger passes errors of the Raft library on to log, at debug level.
+func raftLogger(log zerolog.Logger) hclog.Logger {
 	return hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Error, Output: logWriter{log}, DisableTime: true})
 }
 
@@ -300,38 +303,38 @@
 	return len(b), nil
 }
 
-// leads: an instance that was just elected may not have applied yet what others told before; until it has, it tells
-// nobody anything.
-func (s *service) leads() bool {
-	return s.raft.State() == raft.Leader && s.raft.CurrentTerm() == s.term.Load()
+// isLeader reports whether this instance leads and is up to date. An instance that was just elected may not yet have
+// applied entries that earlier leaders acknowledged; until it has, it serves nobody.
+func (s *service) isLeader() bool {
+	return s.raft.State() == raft.Leader && s.raft.CurrentTerm() == s.readyTerm.Load()
 }
 
-// errNotLeader tells who leads.
+// errNotLeader is the error for a request to an instance that does not lead; it names the leader.
 func (s *service) errNotLeader() error {
 	_, id := s.raft.LeaderWithID()
-	return status.Errorf(codes.FailedPrecondition, "instance %s does not lead; %s", s.set.Name,
-		map[bool]string{true: "nobody does just now", false: "instance " + string(id) + " does"}[id == ""])
+	return status.Errorf(codes.FailedPrecondition, "instance %s is not the leader; %s", s.config.Name,
+		map[bool]string{true: "no instance is at the moment", false: "instance " + string(id) + " is"}[id == ""])
 }
 
-// agree has a command agreed on by a majority.
-func (s *service) agree(c command) (numbered, error) {
+// propose replicates a command to a majority and returns the result of applying it.
+func (s *service) propose(c command) (applyResult, error) {
 	c.Now = rollout.Millis(time.Now().UnixMilli())
-	raw, err := json.Marshal(c)
+	data, err := json.Marshal(c)
 	if err != nil {
-		return numbered{}, err
+		return applyResult{}, err
 	}
-	f := s.raft.Apply(raw, agreement)
-	switch err := f.Error(); {
+	future := s.raft.Apply(data, applyTimeout)
+	switch err := future.Error(); {
 	case errors.Is(err, raft.ErrNotLeader):
-		return numbered{}, s.errNotLeader()
-	case err != nil: // it may have been agreed on
-		return numbered{}, status.Errorf(codes.Unknown, "it may have been numbered, look at the status: %v", err)
+		return applyResult{}, s.errNotLeader()
+	case err != nil: // it may have been committed
+		return applyResult{}, status.Errorf(codes.Unknown, "the version may have been numbered, check the status: %v", err)
 	}
-	return f.Response().(numbered), nil
+	return future.Response().(applyResult), nil
 }
 
-// gatherReports has what followers tell agreed on, many at once.
-func (s *service) gatherReports(ctx context.Context) {
+// batchReports proposes the reports of followers, many in one command.
+func (s *service) batchReports(ctx context.Context) {
 	for {
 		var c command
 		select {
@@ -340,29 +343,29 @@
 		case r := <-s.reports:
 			c.Reports = append(c.Reports, r)
 		}
-		after := time.After(gather)
-	more:
+		window := time.After(reportBatchWindow)
+	collect:
 		for {
 			select {
 			case r := <-s.reports:
 				c.Reports = append(c.Reports, r)
-			case <-after:
-				break more
+			case <-window:
+				break collect
 			case <-ctx.Done():
 				return
 			}
 		}
-		if _, err := s.agree(c); err != nil {
-			s.log.Debug().Err(err).Msg("reports lost: followers tell again")
+		if _, err := s.propose(c); err != nil {
+			s.log.Debug().Err(err).Msg("reports lost; followers will send them again")
 		}
 	}
 }
 
-// tick has the rollout look at the time while one is under way.
-func (s *service) tick(ctx context.Context, set rollout.Settings) {
-	ticker := time.NewTicker(pace)
+// runTicks proposes a tick whenever one is due for the rollout, and tracks whether this instance leads.
+func (s *service) runTicks(ctx context.Context, set rollout.Settings) {
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	led := false
+	wasLeader := false
 	for {
 		select {
 		case <-ctx.Done():
@@ -370,181 +373,183 @@
 		case <-ticker.C:
 		}
 		term := s.raft.CurrentTerm()
-		if s.raft.State() == raft.Leader && s.term.Load() != term {
-			// the settings are this instance's now; and once they are agreed on, all before them is applied
-			if _, err := s.agree(command{Set: &set}); err == nil {
-				s.term.Store(term)
+		if s.raft.State() == raft.Leader && s.readyTerm.Load() != term {
+			// a new leader replicates its own settings; once they are committed, all earlier entries are applied
+			if _, err := s.propose(command{Settings: &set}); err == nil {
+				s.readyTerm.Store(term)
 			}
 		}
-		leads := s.leads()
-		if leads != led {
-			s.log.Info().Bool("leads", leads).Msg("lead")
+		isLeader := s.isLeader()
+		if isLeader != wasLeader {
+			s.log.Info().Bool("leads", isLeader).Msg("leadership changed")
 		}
-		s.m.mu.Lock()
-		wants := s.m.state.TickDue(max(s.m.clock, rollout.Millis(time.Now().UnixMilli())))
-		s.m.mu.Unlock()
-		if leads && wants {
-			_, _ = s.agree(command{}) // what fails is tried again
+		s.fsm.mu.Lock()
+		due := s.fsm.state.TickDue(max(s.fsm.clock, rollout.Millis(time.Now().UnixMilli())))
+		s.fsm.mu.Unlock()
+		if isLeader && due {
+			_, _ = s.propose(command{}) // a failure is retried at the next tick
 		}
-		led = leads
+		wasLeader = isLeader
 	}
 }
 
-// partsOf gives a version's parts; in a call with m locked.
-func (s *service) partsOf(e *rollout.Entry) []settings.Resource {
+// resourcesOf returns the resources of a version. The caller holds the lock of s.fsm.
+func (s *service) resourcesOf(e *rollout.Entry) []settings.Resource {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if parts, known := s.parts[e.Version]; known {
-		return parts
+	if resources, cached := s.resources[e.Version]; cached {
+		return resources
 	}
-	_, parts, err := configdiff.Canonical("configuration", e.Text)
-	if err != nil { // it was canonical when it was numbered
+	_, resources, err := configdiff.Canonical("configuration", e.Text)
+	if err != nil { // cannot happen: the text was canonical when it was numbered
 		return nil
 	}
-	for v := range s.parts {
-		if len(s.parts) >= partsKept {
-			delete(s.parts, v)
+	for v := range s.resources {
+		if len(s.resources) >= maxCachedVersions {
+			delete(s.resources, v)
 		}
 	}
-	s.parts[e.Version] = parts
-	return parts
+	s.resources[e.Version] = resources
+	return resources
 }
 
-// Follow implements the stream: one response at a time is unanswered, and the next one brings the newest.
+// Follow implements the configuration stream. At most one response is unacknowledged; the next one has the newest
+// version.
 func (s *service) Follow(stream wire.Configuration_FollowServer) error {
-	if !s.leads() {
+	if !s.isLeader() {
 		return s.errNotLeader()
 	}
-	if err := stream.SendHeader(nil); err != nil { // it is taken, whether there is anything to tell or not
+	if err := stream.SendHeader(nil); err != nil { // the stream is accepted, even if there is nothing to send
 		return err
 	}
-	ctx, end := context.WithCancel(stream.Context())
-	defer end()
-	came, failed := make(chan *wire.FollowRequest), make(chan error, 1)
+	ctx, cancel := context.WithCancel(stream.Context())
+	defer cancel()
+	requests, recvErr := make(chan *wire.FollowRequest), make(chan error, 1)
 	go func() {
 		for {
 			r, err := stream.Recv()
 			if err != nil {
-				failed <- err
+				recvErr <- err
 				return
 			}
 			select {
-			case came <- r:
+			case requests <- r:
 			case <-ctx.Done():
 				return
 			}
 		}
 	}()
-	look := time.NewTicker(lookAtLead)
-	defer look.Stop()
-	f := &following{s: s}
+	leaderCheck := time.NewTicker(leaderCheckInterval)
+	defer leaderCheck.Stop()
+	fs := &followerStream{svc: s}
 	for {
-		s.m.mu.Lock()
-		changed := s.m.changed
-		out := f.next()
-		s.m.mu.Unlock()
-		if out != nil {
-			if err := stream.Send(out); err != nil {
+		s.fsm.mu.Lock()
+		changed := s.fsm.changed
+		resp := fs.nextResponse()
+		s.fsm.mu.Unlock()
+		if resp != nil {
+			if err := stream.Send(resp); err != nil {
 				return err
 			}
 		}
 		select {
-		case r := <-came:
-			if err := f.heard(r); err != nil {
+		case r := <-requests:
+			if err := fs.handleRequest(r); err != nil {
 				return err
 			}
 		case <-changed:
-		case <-look.C:
-			if !s.leads() {
+		case <-leaderCheck.C:
+			if !s.isLeader() {
 				return s.errNotLeader()
 			}
-		case err := <-failed:
+		case err := <-recvErr:
 			if errors.Is(err, io.EOF) {
 				return nil
 			}
 			return err
 		case <-s.ctx.Done():
-			return status.Error(codes.Unavailable, "the instance stops")
+			return status.Error(codes.Unavailable, "the instance is shutting down")
 		}
 	}
 }
 
-// following is one follower's stream.
-type following struct {
-	s       *service
-	last    rollout.Report
-	sent    uint64 // responses
-	nonce   string // not answered yet; empty: all are
-	offered rollout.Version
-	whole   bool
-	refused rollout.Version // on this stream or as told at its beginning
+// followerStream is the server side of one follower's stream.
+type followerStream struct {
+	svc           *service
+	lastReport    rollout.Report
+	sent          uint64 // number of responses sent
+	nonce         string // of the unacknowledged response; empty if there is none
+	offered       rollout.Version
+	fullRequested bool
+	refused       rollout.Version // refused on this stream or, by its first message, before it
 }
 
-// heard takes a message; answers to any response but the last are stale.
-func (f *following) heard(r *wire.FollowRequest) error {
-	if r.Follower == "" || f.last.Name != "" && r.Follower != f.last.Name {
-		return status.Errorf(codes.InvalidArgument, "follower %q on the stream of %q", r.Follower, f.last.Name)
+// handleRequest handles a message of the follower. A nonce of any response but the last one is stale and ignored.
+func (fs *followerStream) handleRequest(r *wire.FollowRequest) error {
+	if r.Follower == "" || fs.lastReport.Name != "" && r.Follower != fs.lastReport.Name {
+		return status.Errorf(codes.InvalidArgument, "message of follower %q on the stream of follower %q", r.Follower, fs.lastReport.Name)
 	}
 	report := rollout.Report{Name: r.Follower, Version: rollout.Version(r.Version), Digest: r.Digest, Kept: r.Kept,
-		Refused: f.last.Refused, Reason: f.last.Reason}
-	if g := r.Figures; g != nil {
-		report.Counters = rollout.Counters{Taken: g.Taken, OK: g.Ok, Denied: g.Denied, Aborted: g.Aborted}
+		Refused: fs.lastReport.Refused, Reason: fs.lastReport.Reason}
+	if counters := r.Figures; counters != nil {
+		report.Counters = rollout.Counters{Taken: counters.Taken, OK: counters.Ok, Denied: counters.Denied, Aborted: counters.Aborted}
 	} else {
-		report.Counters = f.last.Counters
+		report.Counters = fs.lastReport.Counters
 	}
-	if f.last.Name == "" || r.Nonce == "" {
+	if fs.lastReport.Name == "" || r.Nonce == "" {
 		if v := rollout.Version(r.Refused); v != 0 {
-			f.refused, report.Refused = v, v
+			fs.refused, report.Refused = v, v
 		}
 	}
-	if r.Nonce != "" && r.Nonce == f.nonce {
-		f.nonce = ""
-		f.whole = r.Whole
+	if r.Nonce != "" && r.Nonce == fs.nonce {
+		fs.nonce = ""
+		fs.fullRequested = r.Whole
 		if r.ErrorDetail != nil {
-			f.refused = f.offered
-			report.Refused, report.Reason = f.offered, r.ErrorDetail.Message
+			fs.refused = fs.offered
+			report.Refused, report.Reason = fs.offered, r.ErrorDetail.Message
 		}
 	}
-	f.last = report
+	fs.lastReport = report
 	select {
-	case f.s.reports <- report:
-	case <-f.s.ctx.Done():
+	case fs.svc.reports <- report:
+	case <-fs.svc.ctx.Done():
 	}
 	return nil
 }
 
-// next is the response that is due now; nil: none is.
-func (f *following) next() *wire.FollowResponse {
-	st := f.s.m.state
-	if f.last.Name == "" || f.nonce != "" {
+// nextResponse returns the response that is due now, or nil. The caller holds the lock of the state machine.
+func (fs *followerStream) nextResponse() *wire.FollowResponse {
+	state := fs.svc.fsm.state
+	if fs.lastReport.Name == "" || fs.nonce != "" {
 		return nil
 	}
-	target := st.Target(f.last.Name)
-	e := st.Entries[target]
-	if e == nil || target <= f.last.Version || target == f.refused && !f.whole {
+	target := state.Target(fs.lastReport.Name)
+	entry := state.Entries[target]
+	if entry == nil || target <= fs.lastReport.Version || target == fs.refused && !fs.fullRequested {
 		return nil
 	}
-	parts := f.s.partsOf(e)
-	f.sent++
-	f.nonce, f.offered = fmt.Sprintf("%s-%d", f.s.set.Name, f.sent), target
-	out := &wire.FollowResponse{Version: uint64(target), Nonce: f.nonce, Digest: e.Digest}
-	set := parts
-	if base := st.Entries[f.last.Version]; !f.whole && base != nil && base.Text != "" && base.Digest == f.last.Digest {
+	resources := fs.svc.resourcesOf(entry)
+	fs.sent++
+	fs.nonce, fs.offered = fmt.Sprintf("%s-%d", fs.svc.config.Name, fs.sent), target
+	resp := &wire.FollowResponse{Version: uint64(target), Nonce: fs.nonce, Digest: entry.Digest}
+	changed := resources
+	if base := state.Entries[fs.lastReport.Version]; !fs.fullRequested && base != nil && base.Text != "" &&
+		base.Digest == fs.lastReport.Digest {
 		var removed []configdiff.ID
-		set, removed = configdiff.Diff(f.s.partsOf(base), parts)
-		out.Base = uint64(base.Version)
+		changed, removed = configdiff.Diff(fs.svc.resourcesOf(base), resources)
+		resp.Base = uint64(base.Version)
 		for _, id := range removed {
-			out.Removed = append(out.Removed, &wire.ResourceName{Type: id.Type, Name: id.Name})
+			resp.Removed = append(resp.Removed, &wire.ResourceName{Type: id.Type, Name: id.Name})
 		}
 	}
-	f.whole = false
-	for _, p := range set {
-		out.Resources = append(out.Resources, &wire.Resource{Id: &wire.ResourceName{Type: p.Type, Name: p.Name}, Text: p.Text})
+	fs.fullRequested = false
+	for _, p := range changed {
+		resp.Resources = append(resp.Resources, &wire.Resource{Id: &wire.ResourceName{Type: p.Type, Name: p.Name}, Text: p.Text})
 	}
-	return out
+	return resp
 }
 
-// Submit numbers a configuration.
+// Submit checks a configuration and gives it the next version number.
 func (s *service) Submit(_ context.Context, r *wire.SubmitRequest) (*wire.SubmitResponse, error) {
 	text, _, err := configdiff.Canonical("configuration", r.Text)
 	if err != nil {
@@ -555,70 +560,71 @@
 			return nil, status.Error(codes.InvalidArgument, err.Error())
 		}
 	}
-	return s.answer(s.agree(command{Submit: &submit{Text: text, Digest: configdiff.Digest(text), By: r.By, Note: r.Note,
+	return s.submitResponse(s.propose(command{Submit: &submitCommand{Text: text, Digest: configdiff.Digest(text), By: r.By, Note: r.Note,
 		Base: rollout.Version(r.Base)}}))
 }
 
-// Rollback goes back.
+// Rollback rolls an earlier version out again, under a new number.
 func (s *service) Rollback(_ context.Context, r *wire.RollbackRequest) (*wire.SubmitResponse, error) {
-	return s.answer(s.agree(command{Back: &back{To: rollout.Version(r.Version), By: r.By, Note: r.Note}}))
+	return s.submitResponse(s.propose(command{Rollback: &rollbackCommand{To: rollout.Version(r.Version), By: r.By, Note: r.Note}}))
 }
 
-func (s *service) answer(n numbered, err error) (*wire.SubmitResponse, error) {
+func (s *service) submitResponse(result applyResult, err error) (*wire.SubmitResponse, error) {
 	if err != nil {
 		return nil, err
 	}
-	if n.err != nil {
-		return nil, status.Error(codes.Aborted, n.err.Error())
+	if result.err != nil {
+		return nil, status.Error(codes.Aborted, result.err.Error())
 	}
-	return &wire.SubmitResponse{Version: uint64(n.version)}, nil
+	return &wire.SubmitResponse{Version: uint64(result.version)}, nil
 }
 
-// Get shows a version.
+// Get returns the text of a version.
 func (s *service) Get(_ context.Context, r *wire.GetRequest) (*wire.GetResponse, error) {
-	if err := s.current(); err != nil {
+	if err := s.verifyLeader(); err != nil {
 		return nil, err
 	}
-	s.m.mu.Lock()
-	defer s.m.mu.Unlock()
+	s.fsm.mu.Lock()
+	defer s.fsm.mu.Unlock()
 	v := rollout.Version(r.Version)
 	if v == 0 {
-		v = s.m.state.Stable
+		v = s.fsm.state.Stable
 	}
-	e := s.m.state.Entries[v]
+	e := s.fsm.state.Entries[v]
 	if e == nil || e.Text == "" {
-		return nil, status.Errorf(codes.NotFound, "no version %d, or its text is kept no more", v)
+		return nil, status.Errorf(codes.NotFound, "no version %d, or its text is no longer stored", v)
 	}
 	return &wire.GetResponse{Version: uint64(v), Digest: e.Digest, Text: e.Text}, nil
 }
 
-// current makes sure that this instance leads still: another may have been elected on the far side of a split.
-func (s *service) current() error {
-	if !s.leads() || s.raft.VerifyLeader().Error() != nil {
+// verifyLeader makes sure that this instance still leads: in a network partition, the other side may have elected
+// another leader.
+func (s *service) verifyLeader() error {
+	if !s.isLeader() || s.raft.VerifyLeader().Error() != nil {
 		return s.errNotLeader()
 	}
 	return nil
 }
 
-// Status tells of versions and followers.
+// Status lists the versions and the followers.
 func (s *service) Status(context.Context, *wire.StatusRequest) (*wire.StatusResponse, error) {
-	if err := s.current(); err != nil {
+	if err := s.verifyLeader(); err != nil {
 		return nil, err
 	}
-	s.m.mu.Lock()
-	defer s.m.mu.Unlock()
-	st := s.m.state
-	out := &wire.StatusResponse{Instance: s.set.Name, Leader: s.set.Name, Stable: uint64(st.Stable),
-		Candidate: uint64(st.Candidate), Stage: uint32(st.Stage)}
-	for v := st.Newest; v > 0 && len(out.Versions) < 1000; v-- {
-		if e := st.Entries[v]; e != nil {
-			out.Versions = append(out.Versions, &wire.VersionStatus{Version: uint64(v), Digest: e.Digest, State: e.State,
+	s.fsm.mu.Lock()
+	defer s.fsm.mu.Unlock()
+	state := s.fsm.state
+	resp := &wire.StatusResponse{Instance: s.config.Name, Leader: s.config.Name, Stable: uint64(state.Stable),
+		Candidate: uint64(state.Candidate), Stage: uint32(state.Stage)}
+	for v := state.Newest; v > 0 && len(resp.Versions) < 1000; v-- {
+		if e := state.Entries[v]; e != nil {
+			resp.Versions = append(resp.Versions, &wire.VersionStatus{Version: uint64(v), Digest: e.Digest, State: e.State,
 				Reason: e.Reason, By: e.By, Note: e.Note, UnixMs: int64(e.CreatedAt)})
 		}
 	}
-	for _, f := range st.ListFollowers(rollout.Millis(time.Now().UnixMilli())) {
-		out.Followers = append(out.Followers, &wire.FollowerStatus{Name: f.Name, Version: uint64(f.Version),
-			Target: uint64(st.Target(f.Name)), Refused: uint64(f.Refused), Reason: f.Reason, Kept: f.Kept, Live: f.Live})
+	for _, f := range state.ListFollowers(rollout.Millis(time.Now().UnixMilli())) {
+		resp.Followers = append(resp.Followers, &wire.FollowerStatus{Name: f.Name, Version: uint64(f.Version),
+			Target: uint64(state.Target(f.Name)), Refused: uint64(f.Refused), Reason: f.Reason, Kept: f.Kept, Live: f.Live})
 	}
-	return out, nil
+	return resp, nil
 }
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -23,207 +23,208 @@
 	"mallowlanding/internal/settings"
 )
 
-// cable is the network between instances; cut ones reach nobody and are reached by nobody.
-type cable struct {
+// partitionedNetwork is the network between the instances. Instances in cut cannot reach the others, nor be reached by
+// them.
+type partitionedNetwork struct {
 	mu    sync.Mutex
 	cut   map[string]bool // peer sockets
 	conns map[net.Conn][2]string
 }
 
-func (c *cable) from(own string) Network {
+func (n *partitionedNetwork) dialFrom(own string) Network {
 	return func(ctx context.Context, to string) (net.Conn, error) {
-		c.mu.Lock()
-		blocked := c.cut[own] != c.cut[to]
-		c.mu.Unlock()
+		n.mu.Lock()
+		blocked := n.cut[own] != n.cut[to]
+		n.mu.Unlock()
 		if blocked {
-			return nil, errors.New("cut")
+			return nil, errors.New("network partitioned")
 		}
 		nc, err := unixNetwork(ctx, to)
 		if err == nil {
-			c.mu.Lock()
-			c.conns[nc] = [2]string{own, to}
-			c.mu.Unlock()
+			n.mu.Lock()
+			n.conns[nc] = [2]string{own, to}
+			n.mu.Unlock()
 		}
 		return nc, err
 	}
 }
 
-// split parts the named from the others; none: all reach each other.
-func (c *cable) split(apart ...string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.cut = map[string]bool{}
-	for _, name := range apart {
-		c.cut[name] = true
+// partition separates the given instances from the others; without arguments it heals the network.
+func (n *partitionedNetwork) partition(isolated ...string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.cut = map[string]bool{}
+	for _, name := range isolated {
+		n.cut[name] = true
 	}
-	for nc, ends := range c.conns {
-		if c.cut[ends[0]] != c.cut[ends[1]] {
+	for nc, ends := range n.conns {
+		if n.cut[ends[0]] != n.cut[ends[1]] {
 			nc.Close()
-			delete(c.conns, nc)
+			delete(n.conns, nc)
 		}
 	}
 }
 
-// trio is a control service under test.
-type trio struct {
-	t     *testing.T
-	dir   string
-	n     int
-	cable *cable
-	stops []func()
+// testCluster is a control service under test.
+type testCluster struct {
+	t       *testing.T
+	dir     string
+	n       int
+	network *partitionedNetwork
+	stops   []func()
 }
 
-func newTrio(t *testing.T, n int) *trio {
+func newTestCluster(t *testing.T, n int) *testCluster {
 	dir, err := os.MkdirTemp("", "ml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &trio{t: t, dir: dir, n: n, cable: &cable{conns: map[net.Conn][2]string{}}, stops: make([]func(), n)}
+	cluster := &testCluster{t: t, dir: dir, n: n, network: &partitionedNetwork{conns: map[net.Conn][2]string{}}, stops: make([]func(), n)}
 	t.Cleanup(func() {
 		for i := range n {
-			r.stop(i)
+			cluster.stop(i)
 		}
 		os.RemoveAll(dir)
 	})
 	for i := range n {
-		r.start(i)
+		cluster.start(i)
 	}
-	return r
+	return cluster
 }
 
-func (r *trio) path(name string) string { return filepath.Join(r.dir, name) }
+func (tc *testCluster) path(name string) string { return filepath.Join(tc.dir, name) }
 
-func (r *trio) peer(i int) string { return r.path(fmt.Sprintf("c%d.peer", i)) }
+func (tc *testCluster) peer(i int) string { return tc.path(fmt.Sprintf("c%d.peer", i)) }
 
-func (r *trio) sockets() (out []string) {
-	for i := range r.n {
-		out = append(out, r.path(fmt.Sprintf("c%d.sock", i)))
+func (tc *testCluster) sockets() (out []string) {
+	for i := range tc.n {
+		out = append(out, tc.path(fmt.Sprintf("c%d.sock", i)))
 	}
 	return out
 }
 
-func (r *trio) start(i int) {
-	r.t.Helper()
+func (tc *testCluster) start(i int) {
+	tc.t.Helper()
 	others := ""
-	for j := range r.n {
+	for j := range tc.n {
 		if j != i {
-			others += fmt.Sprintf(`<instance name="c%d" peer-socket=%q/>`, j, r.peer(j))
+			others += fmt.Sprintf(`<instance name="c%d" peer-socket=%q/>`, j, tc.peer(j))
 		}
 	}
-	file := r.path(fmt.Sprintf("c%d.xml", i))
+	file := tc.path(fmt.Sprintf("c%d.xml", i))
 	text := fmt.Sprintf(`<control name="c%[1]d" socket="%[2]s/c%[1]d.sock" peer-socket=%[3]q dir="%[2]s/d%[1]d" beat-ms="60"><rollout stages="1" hold-ms="0" patience-ms="60000"/>%[4]s</control>`,
-		i, r.dir, r.peer(i), others)
+		i, tc.dir, tc.peer(i), others)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
-		r.t.Fatal(err)
+		tc.t.Fatal(err)
 	}
 	c, err := settings.ReadControl(file)
 	if err != nil {
-		r.t.Fatal(err)
+		tc.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended, ready := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(ended)
-		if err := ServeOver(ctx, c, zerolog.Nop(), func() { close(ready) }, r.cable.from(r.peer(i))); err != nil {
-			r.t.Error(err)
+		if err := ServeOver(ctx, c, zerolog.Nop(), func() { close(ready) }, tc.network.dialFrom(tc.peer(i))); err != nil {
+			tc.t.Error(err)
 		}
 	}()
 	select {
 	case <-ready:
 	case <-ended:
-		r.t.FailNow()
+		tc.t.FailNow()
 	}
-	r.stops[i] = func() { cancel(); <-ended }
+	tc.stops[i] = func() { cancel(); <-ended }
 }
 
-func (r *trio) stop(i int) {
-	if r.stops[i] != nil {
-		r.stops[i]()
-		r.stops[i] = nil
+func (tc *testCluster) stop(i int) {
+	if tc.stops[i] != nil {
+		tc.stops[i]()
+		tc.stops[i] = nil
 	}
 }
 
-func (r *trio) client(sockets ...string) *Client {
+func (tc *testCluster) client(sockets ...string) *Client {
 	if len(sockets) == 0 {
-		sockets = r.sockets()
+		sockets = tc.sockets()
 	}
 	c, err := Dial(sockets)
 	if err != nil {
-		r.t.Fatal(err)
+		tc.t.Fatal(err)
 	}
-	r.t.Cleanup(c.Close)
+	tc.t.Cleanup(c.Close)
 	return c
 }
 
-func document(gain int) string {
+func configurationText(gain int) string {
 	return fmt.Sprintf(`<configuration><service><method name="query" effect="idempotent" gain="%d"/><method name="hold" effect="side-effecting"/></service></configuration>`, gain)
 }
 
-func within(t *testing.T, what string, is func() bool) {
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for until := time.Now().Add(10 * time.Second); !is(); time.Sleep(2 * time.Millisecond) {
-		if time.Now().After(until) {
-			t.Fatalf("never: %s", what)
+	for deadline := time.Now().Add(10 * time.Second); !condition(); time.Sleep(2 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("timeout waiting for: %s", what)
 		}
 	}
 }
 
-func number(t *testing.T, c *Client, gain int) uint64 {
+func submit(t *testing.T, c *Client, gain int) uint64 {
 	t.Helper()
-	ctx, end := context.WithTimeout(context.Background(), 10*time.Second)
-	defer end()
-	v, err := c.Submit(ctx, &wire.SubmitRequest{Text: document(gain), By: "test"})
+	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
+	defer cancel()
+	v, err := c.Submit(ctx, &wire.SubmitRequest{Text: configurationText(gain), By: "test"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return v
 }
 
-// The instance that leads is cut off with a submit on its side: that one is not numbered, the far side's is, and no
-// number is given twice.
-func TestSplit(t *testing.T) {
-	r := newTrio(t, 3)
-	c := r.client()
-	if v := number(t, c, 1); v != 1 {
-		t.Fatalf("the first version is %d", v)
+// The leader is separated from the other two instances while a client submits a version to it. That version must not be
+// numbered, a version submitted to the majority must be, and no number may be given twice.
+func TestPartition(t *testing.T) {
+	cluster := newTestCluster(t, 3)
+	c := cluster.client()
+	if v := submit(t, c, 1); v != 1 {
+		t.Fatalf("first version: got %d, want 1", v)
 	}
 	_, st, err := c.Leader(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
-	lead := int(st.Instance[1] - '0')
-	r.cable.split(r.peer(lead))
-	ctx, end := context.WithTimeout(context.Background(), 8*time.Second)
-	defer end()
-	// on the near side: straight to the instance that led, which may not know yet that it is alone
-	cc, err := grpc.NewClient("unix:"+r.sockets()[lead], grpc.WithTransportCredentials(insecure.NewCredentials()))
+	leader := int(st.Instance[1] - '0')
+	cluster.network.partition(cluster.peer(leader))
+	ctx, cancel := context.WithTimeout(context.Background(), 8*time.Second)
+	defer cancel()
+	// submits directly to the former leader, which may not have noticed the partition yet
+	cc, err := grpc.NewClient("unix:"+cluster.sockets()[leader], grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer cc.Close()
 	near := make(chan error, 1)
 	go func() {
-		_, err := wire.NewConfigurationClient(cc).Submit(ctx, &wire.SubmitRequest{Text: document(66)})
+		_, err := wire.NewConfigurationClient(cc).Submit(ctx, &wire.SubmitRequest{Text: configurationText(66)})
 		near <- err
 	}()
 	var far []string
-	for i, socket := range r.sockets() {
-		if i != lead {
+	for i, socket := range cluster.sockets() {
+		if i != leader {
 			far = append(far, socket)
 		}
 	}
-	if v := number(t, r.client(far...), 2); v != 2 {
-		t.Errorf("the far side's version is %d", v)
+	if v := submit(t, cluster.client(far...), 2); v != 2 {
+		t.Errorf("version submitted to the majority: got %d, want 2", v)
 	}
 	if err := <-near; err == nil {
-		t.Error("a version was numbered by an instance alone")
+		t.Error("an isolated instance numbered a version")
 	}
-	r.cable.split()
-	if v := number(t, c, 3); v != 3 {
-		t.Errorf("after the split: version %d", v)
+	cluster.network.partition()
+	if v := submit(t, c, 3); v != 3 {
+		t.Errorf("version after the partition: got %d, want 3", v)
 	}
-	for i := range r.n { // whoever leads tells the same
-		within(t, "all three agree", func() bool {
+	for i := range cluster.n { // every leader must return the same versions
+		waitFor(t, "the leader lists all three versions", func() bool {
 			_, st, err := c.Leader(ctx)
 			return err == nil && len(st.Versions) == 3
 		})
@@ -233,130 +234,131 @@
 				t.Errorf("version %d: %v, %v", v, got, err)
 			}
 		}
-		r.stop(i) // one death costs no version
-		within(t, "another leads", func() bool { _, _, err := c.Leader(ctx); return err == nil })
-		r.start(i)
+		cluster.stop(i) // the loss of one instance must lose no version
+		waitFor(t, "another instance is elected", func() bool { _, _, err := c.Leader(ctx); return err == nil })
+		cluster.start(i)
 	}
 }
 
-// raw is a follower that speaks the stream itself.
-type raw struct {
-	t  *testing.T
-	st wire.Configuration_FollowClient
-	in chan *wire.FollowResponse
+// rawFollower is a follower that sends and receives the messages of the stream directly.
+type rawFollower struct {
+	t         *testing.T
+	stream    wire.Configuration_FollowClient
+	responses chan *wire.FollowResponse
 }
 
-func follow(t *testing.T, r *trio) (*raw, func()) {
-	cc, err := grpc.NewClient("unix:"+r.sockets()[0], grpc.WithTransportCredentials(insecure.NewCredentials()))
+func followRaw(t *testing.T, cluster *testCluster) (*rawFollower, func()) {
+	cc, err := grpc.NewClient("unix:"+cluster.sockets()[0], grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, end := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	st, err := wire.NewConfigurationClient(cc).Follow(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &raw{t, st, make(chan *wire.FollowResponse, 10)}
+	f := &rawFollower{t, st, make(chan *wire.FollowResponse, 10)}
 	go func() {
 		for {
 			m, err := st.Recv()
 			if err != nil {
 				return
 			}
-			f.in <- m
+			f.responses <- m
 		}
 	}()
-	return f, func() { end(); cc.Close() }
+	return f, func() { cancel(); cc.Close() }
 }
 
-func (f *raw) say(m *wire.FollowRequest) {
+func (f *rawFollower) send(m *wire.FollowRequest) {
 	f.t.Helper()
 	m.Follower = "raw"
-	if err := f.st.Send(m); err != nil {
+	if err := f.stream.Send(m); err != nil {
 		f.t.Fatal(err)
 	}
 }
 
-func (f *raw) get(version, base uint64) *wire.FollowResponse {
+func (f *rawFollower) expect(version, base uint64) *wire.FollowResponse {
 	f.t.Helper()
 	select {
-	case m := <-f.in:
+	case m := <-f.responses:
 		if m.Version != version || m.Base != base {
-			f.t.Fatalf("version %d to base %d, want %d to %d", m.Version, m.Base, version, base)
+			f.t.Fatalf("got version %d on base %d, want version %d on base %d", m.Version, m.Base, version, base)
 		}
 		return m
 	case <-time.After(5 * time.Second):
-		f.t.Fatalf("version %d never comes", version)
+		f.t.Fatalf("version %d not received", version)
 		return nil
 	}
 }
 
-func (f *raw) nothing() {
+func (f *rawFollower) expectNothing() {
 	f.t.Helper()
 	select {
-	case m := <-f.in:
-		f.t.Fatalf("version %d comes", m.Version)
+	case m := <-f.responses:
+		f.t.Fatalf("unexpected version %d", m.Version)
 	case <-time.After(150 * time.Millisecond):
 	}
 }
 
-// Nonces as on the published protocol: stale answers count for nothing, one response is open at a time, a slow follower
-// gets the newest alone, a lost NACK comes with the next stream's first message, and changes go to what is in force.
+// The stream follows the rules of the published protocol: stale nonces are ignored, one response is unacknowledged at a
+// time, a slow follower receives only the newest version, a lost NACK is repeated in the first message of the next
+// stream, and changes are relative to the version in force.
 func TestStream(t *testing.T) {
-	r := newTrio(t, 1)
-	c := r.client()
-	number(t, c, 1)
-	f, end := follow(t, r)
-	f.say(&wire.FollowRequest{})
-	one := f.get(1, 0)
-	if len(one.Resources) != 2 || one.Resources[0].Id.Type != "service/method" || one.Resources[0].Id.Name != "hold" {
-		t.Errorf("resources %v", one.Resources)
-	}
-	f.say(&wire.FollowRequest{Nonce: "stale", Version: 0})
-	f.nothing() // still waiting for the real answer
-	f.say(&wire.FollowRequest{Nonce: one.Nonce, Version: 1, Digest: one.Digest, Kept: true})
-	within(t, "version 1 is accepted", func() bool {
+	cluster := newTestCluster(t, 1)
+	c := cluster.client()
+	submit(t, c, 1)
+	f, end := followRaw(t, cluster)
+	f.send(&wire.FollowRequest{})
+	first := f.expect(1, 0)
+	if len(first.Resources) != 2 || first.Resources[0].Id.Type != "service/method" || first.Resources[0].Id.Name != "hold" {
+		t.Errorf("resources of the first version: %v", first.Resources)
+	}
+	f.send(&wire.FollowRequest{Nonce: "stale", Version: 0})
+	f.expectNothing() // the response is still unacknowledged
+	f.send(&wire.FollowRequest{Nonce: first.Nonce, Version: 1, Digest: first.Digest, Kept: true})
+	waitFor(t, "version 1 is accepted", func() bool {
 		_, st, err := c.Leader(context.Background())
 		return err == nil && st.Stable == 1 && st.Followers[0].Version == 1
 	})
-	number(t, c, 2)
-	two := f.get(2, 1)
-	if len(two.Resources) != 1 || two.Resources[0].Id.Name != "query" {
-		t.Errorf("changes %v", two.Resources)
+	submit(t, c, 2)
+	second := f.expect(2, 1)
+	if len(second.Resources) != 1 || second.Resources[0].Id.Name != "query" {
+		t.Errorf("changes from version 1 to 2: %v", second.Resources)
 	}
-	f.say(&wire.FollowRequest{Nonce: one.Nonce, Version: 1, Digest: one.Digest}) // a repeated nonce
+	f.send(&wire.FollowRequest{Nonce: first.Nonce, Version: 1, Digest: first.Digest}) // a stale nonce
 	for gain := 3; gain < 8; gain++ {
-		number(t, c, gain)
-	}
-	f.nothing()
-	f.say(&wire.FollowRequest{Nonce: two.Nonce, Version: 2, Digest: two.Digest})
-	seven := f.get(7, 2) // those between are never sent
-	f.say(&wire.FollowRequest{Nonce: seven.Nonce, Version: 2, Digest: two.Digest, Whole: true})
-	whole := f.get(7, 0)
-	if len(whole.Resources) != 2 {
-		t.Errorf("whole: %v", whole.Resources)
-	}
-	end() // its NACK is lost: the next stream's first message has it
-	f, end = follow(t, r)
+		submit(t, c, gain)
+	}
+	f.expectNothing()
+	f.send(&wire.FollowRequest{Nonce: second.Nonce, Version: 2, Digest: second.Digest})
+	seventh := f.expect(7, 2) // the versions in between are never sent
+	f.send(&wire.FollowRequest{Nonce: seventh.Nonce, Version: 2, Digest: second.Digest, Whole: true})
+	full := f.expect(7, 0)
+	if len(full.Resources) != 2 {
+		t.Errorf("resources of the full response: %v", full.Resources)
+	}
+	end() // the NACK is lost; the first message of the next stream repeats it
+	f, end = followRaw(t, cluster)
 	defer end()
-	f.say(&wire.FollowRequest{Version: 2, Digest: two.Digest, Refused: 7})
-	within(t, "version 7 is withdrawn", func() bool {
+	f.send(&wire.FollowRequest{Version: 2, Digest: second.Digest, Refused: 7})
+	waitFor(t, "version 7 is withdrawn", func() bool {
 		_, st, err := c.Leader(context.Background())
 		return err == nil && st.Versions[0].Version >= 7 && st.Candidate == 0 && st.Followers[0].Refused == 7
 	})
-	f.nothing()
-	if m := proto.Clone(whole).(*wire.FollowResponse); m.Digest == two.Digest {
-		t.Error("two versions of one digest")
+	f.expectNothing()
+	if m := proto.Clone(full).(*wire.FollowResponse); m.Digest == second.Digest {
+		t.Error("versions 2 and 7 have the same digest")
 	}
 }
 
-// follower is a real one whose versions do nothing.
-func follower(t *testing.T, r *trio, fs lastgood.FS) (s *configclient.Client, stop func()) {
-	o := configclient.Options{Name: "f", Sockets: r.sockets(), Store: lastgood.Store{FS: fs, Path: r.path("kept")},
+// startFollower runs a real follower that accepts every valid version without applying anything.
+func startFollower(t *testing.T, cluster *testCluster, fs lastgood.FS) (s *configclient.Client, stop func()) {
+	o := configclient.Options{Name: "f", Sockets: cluster.sockets(), Store: lastgood.Store{FS: fs, Path: cluster.path("kept")},
 		RedialMin: 5 * time.Millisecond, RedialMax: 20 * time.Millisecond, ReportInterval: 20 * time.Millisecond, Log: zerolog.Nop(),
 		Check: func(v uint64, text string) (configclient.Change, error) {
 			_, err := settings.ReadConfiguration(fmt.Sprintf("version %d", v), strings.NewReader(text))
-			return nothing{}, err
+			return noopChange{}, err
 		}}
 	b, _ := configclient.LoadInitial(o)
 	s = configclient.New(o, b)
@@ -366,95 +368,99 @@
 	return s, func() { cancel(); <-ended }
 }
 
-type nothing struct{}
+type noopChange struct{}
 
-func (nothing) Apply() error { return nil }
-func (nothing) Discard()     {}
+func (noopChange) Apply() error { return nil }
+func (noopChange) Discard()     {}
 
-// fatal is a disk on which the machine dies once a version is on it, before anybody hears of that.
-type fatal struct {
+// hangingDisk is a disk whose rename does not return once a version has been saved, as if the machine crashed before
+// it acknowledged the version.
+type hangingDisk struct {
 	lastgood.Disk
-	renamed chan struct{}
-	forever chan struct{}
+	saved   chan struct{}
+	release chan struct{}
 }
 
-func (f *fatal) Rename(from, to string) error {
+func (f *hangingDisk) Rename(from, to string) error {
 	err := f.Disk.Rename(from, to)
 	if strings.HasSuffix(from, ".new") {
-		close(f.renamed)
-		<-f.forever
+		close(f.saved)
+		<-f.release
 	}
 	return err
 }
 
-// A follower that dies between its write and its ACK is found to run the version when it is back.
-func TestDeathBeforeAck(t *testing.T) {
-	r := newTrio(t, 1)
-	c := r.client()
-	disk := &fatal{renamed: make(chan struct{}), forever: make(chan struct{})}
-	_, stop := follower(t, r, disk)
-	v := number(t, c, 1)
-	<-disk.renamed
+// A follower crashes after it has saved a version and before it acknowledges it. After its restart, the control service
+// must count it as running that version.
+func TestFollowerCrashBeforeAck(t *testing.T) {
+	cluster := newTestCluster(t, 1)
+	c := cluster.client()
+	disk := &hangingDisk{saved: make(chan struct{}), release: make(chan struct{})}
+	_, stop := startFollower(t, cluster, disk)
+	v := submit(t, c, 1)
+	<-disk.saved
 	_, st, err := c.Leader(context.Background())
 	if err != nil || st.Stable == v || st.Candidate != v {
-		t.Errorf("accepted before it was acknowledged: %v, %v", st, err)
+		t.Errorf("version accepted before the follower acknowledged it: %v, %v", st, err)
 	}
-	go func() { time.Sleep(10 * time.Millisecond); close(disk.forever) }()
+	go func() { time.Sleep(10 * time.Millisecond); close(disk.release) }()
 	stop()
-	s, stop := follower(t, r, lastgood.Disk{})
+	s, stop := startFollower(t, cluster, lastgood.Disk{})
 	defer stop()
-	within(t, "it is accepted", func() bool {
+	waitFor(t, "the version is accepted", func() bool {
 		_, st, err := c.Leader(context.Background())
 		return err == nil && st.Stable == v
 	})
 	if got := s.Status(); got.Version != v || got.Source != "disk" {
-		t.Errorf("%+v", got)
+		t.Errorf("status of the follower: %+v", got)
 	}
 }
 
-// A store restored from an old backup: what followers run stands, and the next number is above it.
-func TestRestoredStore(t *testing.T) {
-	r := newTrio(t, 1)
-	c := r.client()
-	s, stop := follower(t, r, lastgood.Disk{})
+// The store is restored from an old backup. Followers must keep the version that they run, and the next number must be
+// above it.
+func TestStoreRestoredFromBackup(t *testing.T) {
+	cluster := newTestCluster(t, 1)
+	c := cluster.client()
+	s, stop := startFollower(t, cluster, lastgood.Disk{})
 	defer stop()
 	runs := func(v uint64) func() bool { return func() bool { return s.Status().Version == v } }
-	number(t, c, 1)
-	within(t, "it runs 1", runs(1))
-	r.stop(0)
-	backup, err := os.ReadFile(r.path("d0/log.db"))
+	submit(t, c, 1)
+	waitFor(t, "the follower runs version 1", runs(1))
+	cluster.stop(0)
+	backup, err := os.ReadFile(cluster.path("d0/log.db"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.start(0)
+	cluster.start(0)
 	for gain := 2; gain < 6; gain++ {
-		v := number(t, c, gain)
-		within(t, "it runs the next", runs(v))
+		v := submit(t, c, gain)
+		waitFor(t, "the follower runs the next version", runs(v))
 	}
-	r.stop(0)
-	if err := os.WriteFile(r.path("d0/log.db"), backup, 0o600); err != nil {
+	cluster.stop(0)
+	if err := os.WriteFile(cluster.path("d0/log.db"), backup, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	r.start(0)
-	within(t, "it is heard of", func() bool {
+	cluster.start(0)
+	waitFor(t, "the restored instance has the follower's report", func() bool {
 		_, st, err := c.Leader(context.Background())
 		return err == nil && len(st.Followers) == 1 && st.Followers[0].Version == 5
 	})
 	if got := s.Status(); got.Version != 5 || got.Refused != 0 {
-		t.Errorf("%+v", got)
+		t.Errorf("status of the follower: %+v", got)
 	}
-	if v := number(t, c, 9); v != 6 {
-		t.Errorf("the next number is %d", v)
+	if v := submit(t, c, 9); v != 6 {
+		t.Errorf("next version: got %d, want 6", v)
 	}
-	within(t, "it runs 6", runs(6))
+	waitFor(t, "the follower runs version 6", runs(6))
 }
 
-// What is not well-formed is not numbered; what is not good is only where that was asked for; two who submit to one base.
+// Malformed configurations are never numbered, invalid ones only if unchecked, and of two submits with the same base
+// only the first succeeds.
 func TestSubmit(t *testing.T) {
-	r := newTrio(t, 1)
-	c := r.client()
-	ctx, end := context.WithTimeout(context.Background(), 5*time.Second)
-	defer end()
+	cluster := newTestCluster(t, 1)
+	c := cluster.client()
+	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
+	defer cancel()
 	for text, want := range map[string]string{
 		"<configuration>\n<service>": "configuration:2: ",
 		"<config/>":                  `root element "config"`,
@@ -467,13 +473,13 @@
 		}
 	}
 	if v, err := c.Submit(ctx, &wire.SubmitRequest{Text: "<configuration><nothing/></configuration>", Unchecked: true}); err != nil || v != 1 {
-		t.Errorf("unchecked: %d, %v", v, err)
+		t.Errorf("submit unchecked: %d, %v", v, err)
 	}
-	if v, err := c.Submit(ctx, &wire.SubmitRequest{Text: document(1), Base: 1}); err != nil || v != 2 {
-		t.Errorf("base 1: %d, %v", v, err)
+	if v, err := c.Submit(ctx, &wire.SubmitRequest{Text: configurationText(1), Base: 1}); err != nil || v != 2 {
+		t.Errorf("submit with base 1: %d, %v", v, err)
 	}
-	if _, err := c.Submit(ctx, &wire.SubmitRequest{Text: document(2), Base: 1}); err == nil || !strings.Contains(err.Error(), "the newest version is 2") {
-		t.Errorf("base 1 again: %v", err)
+	if _, err := c.Submit(ctx, &wire.SubmitRequest{Text: configurationText(2), Base: 1}); err == nil || !strings.Contains(err.Error(), "the newest version is 2") {
+		t.Errorf("second submit with base 1: %v", err)
 	}
 	if _, err := c.Rollback(ctx, 0, "test", ""); err == nil || !strings.Contains(err.Error(), "no version was accepted before") {
 		t.Errorf("rollback: %v", err)
