--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -489,7 +489,7 @@
 	if r.Follower == "" || fs.lastReport.Name != "" && r.Follower != fs.lastReport.Name {
 		return status.Errorf(codes.InvalidArgument, "message of follower %q on the stream of follower %q", r.Follower, fs.lastReport.Name)
 	}
-	report := rollout.Report{Name: r.Follower, Version: rollout.Version(r.Version), Digest: r.Digest, Kept: r.Kept,
+	report := rollout.Report{Name: r.Follower, Version: rollout.Version(r.Version), Digest: r.Digest, Saved: r.Kept,
 		Refused: fs.lastReport.Refused, Reason: fs.lastReport.Reason}
 	if counters := r.Figures; counters != nil {
 		report.Counters = rollout.Counters{Taken: counters.Taken, OK: counters.Ok, Denied: counters.Denied, Aborted: counters.Aborted}
@@ -624,7 +624,7 @@
 	}
 	for _, f := range state.ListFollowers(rollout.Millis(time.Now().UnixMilli())) {
 		resp.Followers = append(resp.Followers, &wire.FollowerStatus{Name: f.Name, Version: uint64(f.Version),
-			Target: uint64(state.Target(f.Name)), Refused: uint64(f.Refused), Reason: f.Reason, Kept: f.Kept, Live: f.Live})
+			Target: uint64(state.Target(f.Name)), Refused: uint64(f.Refused), Reason: f.Reason, Kept: f.Saved, Live: f.Live})
 	}
 	return resp, nil
 }
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -1,6 +1,7 @@
-// Package rollout is the state of a control service: numbered versions, who runs which, and how far the newest has come.
-// It decides which version each follower is to run, when a stage is over, and when to go back. No I/O, no goroutines, no
-// clock: the same events in the same order give the same state, so that instances which agree on the events agree on it.
+// Package rollout is the state machine of a control service: the numbered versions, which follower runs which, and how
+// far the rollout of the newest has come. It decides which version each follower is to run, when a stage is complete, and
+// when to roll back. It does no I/O, starts no goroutines and reads no clock: the same events in the same order give the
+// same state, so instances that replicate the events have equal states.
 package rollout
 
 import (
@@ -13,34 +14,34 @@
 	"strings"
 )
 
-// Version is a number; 0 is none.
+// Version is the number of a configuration; 0 stands for none.
 type Version uint64
 
-// Millis is a moment in ms since 1970, or a span in ms.
+// Millis is a time in ms since the Unix epoch, or a duration in ms.
 type Millis int64
 
 // States of a version.
 const (
-	Waiting    = "waiting"    // for the one before to end its rollout
-	Rolling    = "rolling"    // some followers are to run it
-	Accepted   = "accepted"   // all are
-	Withdrawn  = "withdrawn"  // stopped, with the reason
-	Superseded = "superseded" // a newer one came while it waited
-	Past       = "past"       // was accepted, until a newer one was
+	Waiting    = "waiting"    // for the end of the rollout before it
+	Rolling    = "rolling"    // being rolled out: some followers are to run it
+	Accepted   = "accepted"   // all followers are to run it
+	Withdrawn  = "withdrawn"  // its rollout was stopped for the entry's reason
+	Superseded = "superseded" // a newer version was submitted while it waited
+	Past       = "past"       // was accepted and has been replaced by a newer one
 )
 
-// Settings are a rollout's figures.
+// Settings are the parameters of rollouts.
 type Settings struct {
-	Stages          []float64 `json:"stages"`     // shares of the live followers, rising, the last 1
-	Hold            Millis    `json:"hold"`       // a stage lasts so long at the least, once all of it have accepted
-	AnswerTimeout   Millis    `json:"patience"`   // a live follower that has not answered by then stops the rollout
-	LiveTimeout     Millis    `json:"live"`       // a follower not heard from for so long counts as away
-	MaxRefusedShare float64   `json:"refused"`    // share of a stage's followers that may turn a version down
-	MaxOKDrop       float64   `json:"worse"`      // fall of the ok share, over that of the others, that stops it
-	MinRPCs         uint64    `json:"least_rpcs"` // on either side of a comparison
+	Stages          []float64 `json:"stages"`     // shares of the live followers, ascending, the last is 1
+	Hold            Millis    `json:"hold"`       // minimum duration of a stage once all its followers have accepted
+	AnswerTimeout   Millis    `json:"patience"`   // a live follower that exceeds it stops the rollout
+	LiveTimeout     Millis    `json:"live"`       // a follower that sends no report for this long counts as away
+	MaxRefusedShare float64   `json:"refused"`    // share of the chosen followers that may refuse a version
+	MaxOKDrop       float64   `json:"worse"`      // tolerated drop of the ok share, less that of the other followers
+	MinRPCs         uint64    `json:"least_rpcs"` // required on both sides of a comparison of ok shares
 }
 
-// Entry is one version.
+// Entry is a version with its state.
 type Entry struct {
 	Version   Version `json:"version"`
 	Digest    string  `json:"digest"`
@@ -50,10 +51,10 @@
 	State     string  `json:"state"`
 	Reason    string  `json:"reason,omitempty"`
 	CreatedAt Millis  `json:"at"`
-	Immediate bool    `json:"at_once,omitempty"` // its only stage is the last
+	Immediate bool    `json:"at_once,omitempty"` // rolled out to all followers in a single stage
 }
 
-// Counters are a follower's sums since it began.
+// Counters count a follower's RPCs since its process started.
 type Counters struct {
 	Taken   uint64 `json:"taken"`
 	OK      uint64 `json:"ok"`
@@ -61,90 +62,92 @@
 	Aborted uint64 `json:"aborted"`
 }
 
-// Report is what a follower told.
+// Report is what a follower reports about itself.
 type Report struct {
 	Name     string   `json:"name"`
-	Version  Version  `json:"version"` // in force there
+	Version  Version  `json:"version"` // in force at the follower
 	Digest   string   `json:"digest"`
-	Kept     bool     `json:"kept"`
+	Saved    bool     `json:"kept"`
 	Refused  Version  `json:"refused,omitempty"`
 	Reason   string   `json:"reason,omitempty"`
 	Counters Counters `json:"figures"`
 }
 
-// follower is what is known of one.
+// follower is the state of one follower. It is written to snapshots.
 type follower struct {
 	Report
-	Seen   Millis   `json:"seen"`
-	Since  Millis   `json:"since"`  // chosen for the candidate
-	Chosen bool     `json:"chosen"` // it is to run the candidate
-	Before Counters `json:"before"` // when the version before the candidate began there, or its process did
-	Start  Counters `json:"start"`  // when the candidate's rollout began
-	After  Counters `json:"after"`  // when it accepted the candidate
-	Has    bool     `json:"has"`    // After is set
+	LastSeen          Millis   `json:"seen"`
+	ChosenAt          Millis   `json:"since"`  // when it was chosen for the candidate
+	Chosen            bool     `json:"chosen"` // whether it is to run the candidate
+	StableStart       Counters `json:"before"` // counters when its process or its run of the stable version started
+	RolloutStart      Counters `json:"start"`  // counters when the candidate's rollout started
+	CandidateStart    Counters `json:"after"`  // counters when it accepted the candidate
+	AcceptedCandidate bool     `json:"has"`    // whether CandidateStart is set
 }
 
-// State is everything; it goes into snapshots as it is.
+// State is the whole state of the rollouts. It is written to snapshots as it is.
 type State struct {
 	Settings        Settings             `json:"settings"`
 	Newest          Version              `json:"newest"`
 	Stable          Version              `json:"stable"`
 	Candidate       Version              `json:"candidate"`
-	Pending         Version              `json:"next"` // waits for the candidate's end; 0: none does
+	Pending         Version              `json:"next"` // waits for the end of the candidate's rollout; 0: none
 	Stage           int                  `json:"stage"`
-	StageSince      Millis               `json:"since"`    // the stage began
-	StageCompleteAt Millis               `json:"complete"` // all of the stage have accepted; 0: not yet
+	StageSince      Millis               `json:"since"`    // when the stage started
+	StageCompleteAt Millis               `json:"complete"` // when all followers of the stage had accepted; 0: not yet
 	Entries         map[Version]*Entry   `json:"entries"`
 	Followers       map[string]*follower `json:"followers"`
 }
 
-// keepEntries is how many versions behind the newest are told at all, and forget how long a follower that is away.
+// Older versions and followers that are away for longer are deleted.
 const (
-	keepEntries = 1000
-	forget      = Millis(24 * 60 * 60 * 1000)
+	maxEntries  = 1000 // versions
+	forgetAfter = Millis(24 * 60 * 60 * 1000)
 )
 
-// keepTexts is how many versions behind the newest keep their text: what operators look at and go back to.
-const keepTexts = 100
+// maxTexts is how many of the newest versions keep their text. Operators look only at recent versions and roll back only
+// to them.
+const maxTexts = 100
 
-// New starts with no version.
+// New returns a state without versions and followers.
 func New(set Settings) *State {
 	return &State{Settings: set, Entries: map[Version]*Entry{}, Followers: map[string]*follower{}}
 }
 
-// Submit numbers a version. Base, unless 0, must be the newest.
+// Submit adds a version and returns its number. Base, unless 0, must be the newest version.
 func (s *State) Submit(now Millis, text, digest, by, note string, base Version) (Version, error) {
 	if base != 0 && base != s.Newest {
-		return 0, fmt.Errorf("the newest version is %d, not %d: look at what changed and submit again", s.Newest, base)
+		return 0, fmt.Errorf("the newest version is %d, not %d: check what changed and submit again", s.Newest, base)
 	}
-	return s.add(now, &Entry{Text: text, Digest: digest, By: by, Note: note}), nil
+	return s.addVersion(now, &Entry{Text: text, Digest: digest, By: by, Note: note}), nil
 }
 
-func (s *State) add(now Millis, e *Entry) Version {
+func (s *State) addVersion(now Millis, e *Entry) Version {
 	s.Newest++
 	e.Version, e.State, e.CreatedAt = s.Newest, Waiting, now
 	s.Entries[e.Version] = e
-	s.drop(fmt.Sprintf("version %d came before it was begun", e.Version))
+	s.supersedePending(fmt.Sprintf("version %d came before it was begun", e.Version))
 	s.Pending = e.Version
-	if old := s.Entries[e.Version-min(e.Version, keepTexts)]; old != nil && old.Version != s.Stable && old.Version != s.Candidate {
+	if old := s.Entries[e.Version-min(e.Version, maxTexts)]; old != nil &&
+		old.Version != s.Stable && old.Version != s.Candidate {
 		old.Text = ""
 	}
-	if v := e.Version - min(e.Version, keepEntries); v != s.Stable && v != s.Candidate {
+	if v := e.Version - min(e.Version, maxEntries); v != s.Stable && v != s.Candidate {
 		delete(s.Entries, v)
 	}
-	s.proceed(now)
+	s.startPending(now)
 	return e.Version
 }
 
-// drop supersedes the version that waits: it is never told to anybody.
-func (s *State) drop(why string) {
+// supersedePending supersedes the version that waits; no follower ever receives it.
+func (s *State) supersedePending(reason string) {
 	if s.Pending != 0 {
-		s.Entries[s.Pending].State, s.Entries[s.Pending].Reason, s.Pending = Superseded, why, 0
+		s.Entries[s.Pending].State, s.Entries[s.Pending].Reason, s.Pending = Superseded, reason, 0
 	}
 }
 
-// Rollback has all followers run what was accepted as version to, or 0: as the one before the last, under a new number and
-// at once: numbers never fall.
+// Rollback makes all followers run the text of version to, which was accepted before, under a new number and in a single
+// stage; version numbers never go back. 0 stands for the version that was accepted before the stable one.
 func (s *State) Rollback(now Millis, to Version, by, note string) (Version, error) {
 	if to == 0 {
 		for v := s.Stable; v > 0 && to == 0; v-- {
@@ -162,65 +165,65 @@
 	case e.State != Past && e.State != Accepted:
 		return 0, fmt.Errorf("version %d was never accepted: it is %s", to, e.State)
 	case e.Text == "":
-		return 0, fmt.Errorf("version %d is too old: its text is kept no more", to)
+		return 0, fmt.Errorf("version %d is too old: its text is no longer stored", to)
 	}
-	s.drop("rolled back")
+	s.supersedePending("rolled back")
 	if s.Candidate != 0 {
-		s.end(now, Withdrawn, fmt.Sprintf("rolled back by %s", by))
+		s.endRollout(now, Withdrawn, fmt.Sprintf("rolled back by %s", by))
 	}
-	return s.add(now, &Entry{Text: e.Text, Digest: e.Digest, By: by, Immediate: true,
+	return s.addVersion(now, &Entry{Text: e.Text, Digest: e.Digest, By: by, Immediate: true,
 		Note: strings.TrimSpace(fmt.Sprintf("back to %d %s", to, note))}), nil
 }
 
-// RecordReport takes a follower's report.
+// RecordReport records the report of a follower.
 func (s *State) RecordReport(now Millis, r Report) {
 	f := s.Followers[r.Name]
 	if f == nil {
 		f = &follower{}
 		s.Followers[r.Name] = f
-		f.Before, f.Start = r.Counters, r.Counters
+		f.StableStart, f.RolloutStart = r.Counters, r.Counters
 	}
-	if r.Counters.Taken < f.Counters.Taken { // its process began anew
-		f.Before, f.Start, f.After = r.Counters, r.Counters, r.Counters
+	if r.Counters.Taken < f.Counters.Taken { // its process has restarted
+		f.StableStart, f.RolloutStart, f.CandidateStart = r.Counters, r.Counters, r.Counters
 	}
-	f.Report, f.Seen = r, now
-	if s.Candidate != 0 && !f.Chosen && s.stages()[s.Stage] >= 1 { // it came amid the last stage
-		f.Chosen, f.Since = true, now
+	f.Report, f.LastSeen = r, now
+	if s.Candidate != 0 && !f.Chosen && s.stages()[s.Stage] >= 1 { // it joined during the last stage
+		f.Chosen, f.ChosenAt = true, now
 	}
-	if s.Candidate != 0 && f.Chosen && r.Version == s.Candidate && !f.Has {
-		f.After, f.Has = r.Counters, true
+	if s.Candidate != 0 && f.Chosen && r.Version == s.Candidate && !f.AcceptedCandidate {
+		f.CandidateStart, f.AcceptedCandidate = r.Counters, true
 	}
-	if r.Version > s.Newest { // this store is older than the fleet: numbers go on above
+	if r.Version > s.Newest { // the store was restored from a backup: new numbers must be above those in use
 		s.Newest = r.Version
 	}
 }
 
-// step is what a rollout does next.
+// step is the next step of a rollout.
 type step uint8
 
 const (
-	stay       step = iota
-	begin           // the version that waits
-	draw            // others try: none of the stage is there
-	withdraw        // with a reason
-	complete        // all of the stage have accepted
-	incomplete      // not any more: one came to it
-	further         // the next stage
+	noStep          step = iota
+	startRollout         // of the pending version
+	chooseAgain          // choose followers again: all of the chosen ones are away
+	withdraw             // stop the rollout, for a reason
+	stageComplete        // all followers of the stage have accepted
+	stageIncomplete      // no longer complete: a follower joined the stage
+	nextStage            // begin the next stage
 	accept
 )
 
-// next tells what is due, and the reason of a withdrawal.
-func (s *State) next(now Millis) (step, string) {
+// nextStep returns the step that is due, and for withdraw its reason.
+func (s *State) nextStep(now Millis) (step, string) {
 	if s.Candidate == 0 {
 		if s.Pending != 0 {
-			return begin, ""
+			return startRollout, ""
 		}
-		return stay, ""
+		return noStep, ""
 	}
-	accepted, refused, chosen, live, open, reasons := 0, 0, 0, 0, []string{}, []string{}
-	for _, name := range s.names() {
+	accepted, refused, chosen, live, overdue, reasons := 0, 0, 0, 0, []string{}, []string{}
+	for _, name := range s.followerNames() {
 		f := s.Followers[name]
-		if now-f.Seen > s.Settings.LiveTimeout {
+		if now-f.LastSeen > s.Settings.LiveTimeout {
 			continue
 		}
 		if live++; !f.Chosen {
@@ -233,78 +236,81 @@
 		case f.Refused == s.Candidate:
 			refused++
 			reasons = append(reasons, name+": "+f.Reason)
-		case now-f.Since > s.Settings.AnswerTimeout:
-			open = append(open, name)
+		case now-f.ChosenAt > s.Settings.AnswerTimeout:
+			overdue = append(overdue, name)
 		}
 	}
-	done := accepted+refused == chosen && accepted > 0 // what nobody runs is not accepted
-	switch why := s.worse(); {
+	done := accepted+refused == chosen && accepted > 0 // a version that no follower runs is not accepted
+	switch drop := s.okDropReason(); {
 	case chosen == 0 && live > 0:
-		return draw, ""
+		return chooseAgain, ""
 	case chosen == 0:
-		return stay, ""
+		return noStep, ""
 	case float64(refused) > s.Settings.MaxRefusedShare*float64(chosen):
-		return withdraw, fmt.Sprintf("turned down by %d of %d: %s", refused, chosen, strings.Join(reasons[:min(3, len(reasons))], "; "))
-	case len(open) > 0:
-		return withdraw, fmt.Sprintf("no answer for %d ms from %s", s.Settings.AnswerTimeout, strings.Join(open[:min(3, len(open))], ", "))
-	case why != "":
-		return withdraw, why
+		return withdraw, fmt.Sprintf("turned down by %d of %d: %s", refused, chosen,
+			strings.Join(reasons[:min(3, len(reasons))], "; "))
+	case len(overdue) > 0:
+		return withdraw, fmt.Sprintf("no answer for %d ms from %s", s.Settings.AnswerTimeout,
+			strings.Join(overdue[:min(3, len(overdue))], ", "))
+	case drop != "":
+		return withdraw, drop
 	case !done && s.StageCompleteAt != 0:
-		return incomplete, ""
+		return stageIncomplete, ""
 	case !done:
-		return stay, ""
-	case s.StageCompleteAt == 0 && s.Settings.Hold > 0 && !s.atOnce():
-		return complete, ""
-	case !s.atOnce() && now-s.StageCompleteAt < s.Settings.Hold:
-		return stay, ""
+		return noStep, ""
+	case s.StageCompleteAt == 0 && s.Settings.Hold > 0 && !s.immediate():
+		return stageComplete, ""
+	case !s.immediate() && now-s.StageCompleteAt < s.Settings.Hold:
+		return noStep, ""
 	case s.Stage+1 < len(s.stages()):
-		return further, ""
+		return nextStage, ""
 	}
 	return accept, ""
 }
 
-// Tick is the passing of time, and where the rollout goes on.
+// Tick advances the time to now: it deletes followers that are away for too long and takes the next step of the rollout.
 func (s *State) Tick(now Millis) {
 	for name, f := range s.Followers {
-		if now-f.Seen > forget {
+		if now-f.LastSeen > forgetAfter {
 			delete(s.Followers, name)
 		}
 	}
-	switch what, why := s.next(now); what {
-	case begin:
-		s.proceed(now)
-	case draw:
-		s.choose(now)
+	switch next, reason := s.nextStep(now); next {
+	case startRollout:
+		s.startPending(now)
+	case chooseAgain:
+		s.chooseFollowers(now)
 	case withdraw:
-		s.end(now, Withdrawn, why)
-	case complete:
+		s.endRollout(now, Withdrawn, reason)
+	case stageComplete:
 		s.StageCompleteAt = now
-	case incomplete:
+	case stageIncomplete:
 		s.StageCompleteAt = 0
-	case further:
+	case nextStage:
 		s.Stage++
-		s.choose(now)
+		s.chooseFollowers(now)
 	case accept:
-		s.end(now, Accepted, "")
+		s.endRollout(now, Accepted, "")
 	}
 }
 
-// TickDue tells whether a tick at now would change anything, so that idle instances need not agree on every one.
+// TickDue reports whether a tick at now would take a step, so that idle instances need not replicate every tick.
 func (s *State) TickDue(now Millis) bool {
-	what, _ := s.next(now)
-	return what != stay
+	next, _ := s.nextStep(now)
+	return next != noStep
 }
 
-func (s *State) atOnce() bool { return s.Entries[s.Candidate].Immediate }
+func (s *State) immediate() bool { return s.Entries[s.Candidate].Immediate }
 
+// stages returns the stages of the candidate's rollout. The first version ever goes to all followers in one stage.
 func (s *State) stages() []float64 {
-	if s.Candidate != 0 && (s.atOnce() || s.Stable == 0) {
+	if s.Candidate != 0 && (s.immediate() || s.Stable == 0) {
 		return []float64{1}
 	}
 	return s.Settings.Stages
 }
 
-// Target is the version that a follower is to run; 0: none yet.
+// Target returns the version that a follower is to run; 0 if there is none yet.
 func (s *State) Target(name string) Version {
 	if f := s.Followers[name]; s.Candidate != 0 && (s.stages()[s.Stage] >= 1 || f != nil && f.Chosen) {
 		return s.Candidate
@@ -312,26 +318,26 @@
 	return s.Stable
 }
 
-// proceed begins the version that waits.
-func (s *State) proceed(now Millis) {
+// startPending starts the rollout of the pending version, unless another rollout is under way.
+func (s *State) startPending(now Millis) {
 	if s.Candidate != 0 || s.Pending == 0 {
 		return
 	}
 	e := s.Entries[s.Pending]
 	e.State, s.Candidate, s.Stage, s.Pending = Rolling, e.Version, 0, 0
 	for _, f := range s.Followers {
-		f.Chosen, f.Has, f.Start = false, false, f.Counters
+		f.Chosen, f.AcceptedCandidate, f.RolloutStart = false, false, f.Counters
 	}
-	s.choose(now)
+	s.chooseFollowers(now)
 }
 
-// choose adds followers until the stage's share of the live ones has the candidate: which they are is drawn anew for
-// each version, so that it isn't always the same ones that try.
-func (s *State) choose(now Millis) {
+// chooseFollowers chooses further followers for the candidate until the stage's share of the live followers is reached.
+// Their order depends on the version, so that the first stage does not always hit the same followers.
+func (s *State) chooseFollowers(now Millis) {
 	s.StageSince, s.StageCompleteAt = now, 0
 	var live []string
-	for _, name := range s.names() {
-		if now-s.Followers[name].Seen <= s.Settings.LiveTimeout {
+	for _, name := range s.followerNames() {
+		if now-s.Followers[name].LastSeen <= s.Settings.LiveTimeout {
 			live = append(live, name)
 		}
 	}
@@ -342,25 +348,26 @@
 	n := min(len(live), int(math.Ceil(share*float64(len(live)))))
 	for _, name := range live[:n] {
 		if f := s.Followers[name]; !f.Chosen {
-			f.Chosen, f.Since = true, now
+			f.Chosen, f.ChosenAt = true, now
 		}
 	}
-	if share >= 1 { // those away, too: they are not waited for
+	if share >= 1 { // followers that are away, too; the stage does not wait for them
 		for _, f := range s.Followers {
 			if !f.Chosen {
-				f.Chosen, f.Since = true, now
+				f.Chosen, f.ChosenAt = true, now
 			}
 		}
 	}
 }
 
+// rank orders the followers for a version pseudorandomly.
 func rank(name string, v Version) uint64 {
 	h := fnv.New64a()
 	_, _ = fmt.Fprintf(h, "%d %s", v, name)
 	return h.Sum64()
 }
 
-func (s *State) names() []string {
+func (s *State) followerNames() []string {
 	out := make([]string, 0, len(s.Followers))
 	for name := range s.Followers {
 		out = append(out, name)
@@ -369,63 +376,66 @@
 	return out
 }
 
-func share(from, to Counters) (ok float64, n uint64) {
-	n = to.OK + to.Denied + to.Aborted - from.OK - from.Denied - from.Aborted
-	return float64(to.OK-from.OK) / float64(max(n, 1)), n
+// okShare returns the ok share of the RPCs that ended between two counters, and the number of these RPCs.
+func okShare(from, to Counters) (ok float64, total uint64) {
+	total = to.OK + to.Denied + to.Aborted - from.OK - from.Denied - from.Aborted
+	return float64(to.OK-from.OK) / float64(max(total, 1)), total
 }
 
-// worse compares the ok share of those who run the candidate with their own before it, less what changed for the others
-// over the same time: a bad hour for all is not the version's.
-func (s *State) worse() string {
+// okDropReason returns why the candidate is to be withdrawn for its ok share, or "". It compares the ok share of the
+// followers that run the candidate with their own ok share before it, less the drop at the other followers over the same
+// time: a drop that affects all followers is not caused by the version.
+func (s *State) okDropReason() string {
 	var before, after, otherBefore, otherAfter Counters
 	add := func(to *Counters, from, until Counters) {
 		to.OK += until.OK - from.OK
 		to.Denied += until.Denied - from.Denied
 		to.Aborted += until.Aborted - from.Aborted
 	}
-	for _, name := range s.names() {
+	for _, name := range s.followerNames() {
 		f := s.Followers[name]
-		if f.Has {
-			add(&before, f.Before, f.Start)
-			add(&after, f.After, f.Counters)
+		if f.AcceptedCandidate {
+			add(&before, f.StableStart, f.RolloutStart)
+			add(&after, f.CandidateStart, f.Counters)
 		} else {
-			add(&otherBefore, f.Before, f.Start)
-			add(&otherAfter, f.Start, f.Counters)
+			add(&otherBefore, f.StableStart, f.RolloutStart)
+			add(&otherAfter, f.RolloutStart, f.Counters)
 		}
 	}
-	b, nb := share(Counters{}, before)
-	a, na := share(Counters{}, after)
-	if nb < s.Settings.MinRPCs || na < s.Settings.MinRPCs {
+	okBefore, totalBefore := okShare(Counters{}, before)
+	okAfter, totalAfter := okShare(Counters{}, after)
+	if totalBefore < s.Settings.MinRPCs || totalAfter < s.Settings.MinRPCs {
 		return ""
 	}
-	fell := 0.0
-	ob, nob := share(Counters{}, otherBefore)
-	oa, noa := share(Counters{}, otherAfter)
-	if nob >= s.Settings.MinRPCs && noa >= s.Settings.MinRPCs {
-		fell = ob - oa
+	otherDrop := 0.0
+	otherOKBefore, otherTotalBefore := okShare(Counters{}, otherBefore)
+	otherOKAfter, otherTotalAfter := okShare(Counters{}, otherAfter)
+	if otherTotalBefore >= s.Settings.MinRPCs && otherTotalAfter >= s.Settings.MinRPCs {
+		otherDrop = otherOKBefore - otherOKAfter
 	}
-	if b-a-fell > s.Settings.MaxOKDrop {
-		return fmt.Sprintf("ok share fell from %.3f to %.3f of %d RPCs with it, from %.3f to %.3f without", b, a, na, ob, oa)
+	if okBefore-okAfter-otherDrop > s.Settings.MaxOKDrop {
+		return fmt.Sprintf("ok share fell from %.3f to %.3f of %d RPCs with it, from %.3f to %.3f without",
+			okBefore, okAfter, totalAfter, otherOKBefore, otherOKAfter)
 	}
 	return ""
 }
 
-// end ends the candidate's rollout. Where one that is withdrawn is in force anywhere, what was accepted before follows
-// under a new number.
-func (s *State) end(now Millis, state, reason string) {
+// endRollout ends the candidate's rollout. If a withdrawn candidate may be in force at any follower, the stable version
+// follows under a new number, which takes its place.
+func (s *State) endRollout(now Millis, state, reason string) {
 	e := s.Entries[s.Candidate]
 	e.State, e.Reason = state, reason
 	inForce := false
 	for _, f := range s.Followers {
-		// it may run it without having said so yet
+		// a chosen follower may run it without having reported so yet
 		inForce = inForce || f.Chosen && f.Refused != s.Candidate
 		if state == Accepted {
-			f.Before = f.Counters
-			if f.Has {
-				f.Before = f.After
+			f.StableStart = f.Counters
+			if f.AcceptedCandidate {
+				f.StableStart = f.CandidateStart
 			}
 		}
-		f.Chosen, f.Has = false, false
+		f.Chosen, f.AcceptedCandidate = false, false
 	}
 	s.Candidate, s.Stage, s.StageCompleteAt = 0, 0, 0
 	if state == Accepted {
@@ -433,7 +443,7 @@
 			old.State = Past
 		}
 		s.Stable = e.Version
-		s.proceed(now)
+		s.startPending(now)
 		return
 	}
 	if old := s.Entries[s.Stable]; inForce && old != nil {
@@ -442,28 +452,28 @@
 		s.Stable = s.Newest
 		s.Entries[s.Newest] = &Entry{Version: s.Newest, Digest: old.Digest, Text: old.Text, State: Accepted, CreatedAt: now,
 			Note: fmt.Sprintf("back to %d: %d was withdrawn", old.Version, e.Version)}
-		if s.Pending != 0 { // what waits was numbered before: it keeps its content under a number above
-			again := *s.Entries[s.Pending]
-			s.drop(fmt.Sprintf("comes again as %d", s.Newest+1))
+		if s.Pending != 0 { // the pending version has a lower number: its content gets a new number above
+			renumbered := *s.Entries[s.Pending]
+			s.supersedePending(fmt.Sprintf("comes again as %d", s.Newest+1))
 			s.Newest++
-			again.Version, s.Pending = s.Newest, s.Newest
-			s.Entries[s.Newest] = &again
+			renumbered.Version, s.Pending = s.Newest, s.Newest
+			s.Entries[s.Newest] = &renumbered
 		}
 	}
-	s.proceed(now)
+	s.startPending(now)
 }
 
-// FollowerStatus is a follower as status tells of it.
+// FollowerStatus is a follower's last report, and whether it is live.
 type FollowerStatus struct {
 	Report
 	Live bool
 }
 
-// ListFollowers is all followers by name.
+// ListFollowers returns the status of all followers, ordered by name.
 func (s *State) ListFollowers(now Millis) (out []FollowerStatus) {
-	for _, name := range s.names() {
+	for _, name := range s.followerNames() {
 		f := s.Followers[name]
-		out = append(out, FollowerStatus{f.Report, now-f.Seen <= s.Settings.LiveTimeout})
+		out = append(out, FollowerStatus{f.Report, now-f.LastSeen <= s.Settings.LiveTimeout})
 	}
 	return out
 }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -13,17 +13,18 @@
 	"pgregory.net/rapid"
 )
 
-// Scenarios, each under a line of '== NAME': stages 0.25 and 1, hold 100, patience 1000, live 500, ten RPCs at least.
+// The scenarios of testdata/rollouts.txt, each below a line '== NAME'. They run with stages 0.25 and 1, a hold of 100 ms,
+// an answer timeout of 1000 ms, a live timeout of 500 ms and a minimum of ten RPCs for a comparison.
 //
-//	followers N                     f0 to fN-1 report what they run: nothing
-//	at MS                           time goes on to MS, in ticks of 10; followers report that they live each 100
-//	submit TEXT [base=V]            numbers a version; bad ones are turned down by their followers
+//	followers N                     followers f0 to fN-1 report that they run no version
+//	at MS                           advances the time to MS in ticks of 10 ms; live followers report every 100 ms
+//	submit TEXT [base=V]            submits a version; followers refuse a text that begins with bad
 //	rollback V
-//	answers                         who has a target that it does not run accepts it, or turns it down if its text begins with bad
-//	answer NAME                     one of them
-//	away NAME | back NAME           it reports no more, or again
-//	rpcs SHARE_OK N WHO             N RPCs more at who runs the candidate (with), at the others (without), or all
-//	report NAME VERSION             it says that it runs so
+//	answers                         every follower accepts or refuses its target if it does not run it yet
+//	answer NAME                     one follower does so
+//	away NAME | back NAME           a follower stops or resumes reporting
+//	rpcs SHARE_OK N WHO             adds N RPCs to followers that run the candidate (with), the others (without), or all
+//	report NAME VERSION             a follower reports that it runs VERSION
 //	want state V STATE | want targets V=COUNT ... | want reason V TEXT | want stable V | want error TEXT
 func TestScenarios(t *testing.T) {
 	text, err := os.ReadFile("testdata/rollouts.txt")
@@ -34,8 +35,8 @@
 	for part := range strings.SplitSeq(all, "\n== ") {
 		name, steps, _ := strings.Cut(part, "\n")
 		t.Run(name, func(t *testing.T) {
-			p := &play{t: t, s: New(Settings{Stages: []float64{0.25, 1}, Hold: 100, AnswerTimeout: 1000, LiveTimeout: 500, MaxOKDrop: 0.1, MinRPCs: 10}),
-				runs: map[string]*Report{}, away: map[string]bool{}}
+			p := &player{t: t, s: New(Settings{Stages: []float64{0.25, 1}, Hold: 100, AnswerTimeout: 1000, LiveTimeout: 500,
+				MaxOKDrop: 0.1, MinRPCs: 10}), runs: map[string]*Report{}, away: map[string]bool{}}
 			for line := range strings.Lines(steps) {
 				if w := strings.Fields(line); len(w) > 0 && w[0] != "#" {
 					if err := p.step(w); err != nil {
@@ -47,7 +48,8 @@
 	}
 }
 
-type play struct {
+// player runs the steps of a scenario.
+type player struct {
 	t    *testing.T
 	s    *State
 	now  Millis
@@ -56,7 +58,7 @@
 	err  error
 }
 
-func (p *play) names() []string {
+func (p *player) names() []string {
 	var out []string
 	for name := range p.runs {
 		out = append(out, name)
@@ -65,7 +67,7 @@
 	return out
 }
 
-func (p *play) answer(name string) {
+func (p *player) answer(name string) {
 	r, target := p.runs[name], p.s.Target(name)
 	if e := p.s.Entries[target]; target > r.Version && e != nil && !p.away[name] {
 		if strings.HasPrefix(e.Text, "bad") {
@@ -77,7 +79,7 @@
 	}
 }
 
-func (p *play) step(w []string) error {
+func (p *player) step(w []string) error {
 	version := func(i int) Version { n, _ := strconv.Atoi(w[i]); return Version(n) }
 	switch w[0] {
 	case "followers":
@@ -133,12 +135,12 @@
 	case "want":
 		return p.want(w[1:])
 	default:
-		return fmt.Errorf("no step %q", w[0])
+		return fmt.Errorf("unknown step %q", w[0])
 	}
 	return nil
 }
 
-func (p *play) want(w []string) error {
+func (p *player) want(w []string) error {
 	n, _ := strconv.Atoi(w[min(1, len(w)-1)])
 	e := p.s.Entries[Version(n)]
 	if (w[0] == "state" || w[0] == "reason") && e == nil {
@@ -147,19 +149,19 @@
 	switch w[0] {
 	case "state":
 		if e.State != w[2] {
-			return fmt.Errorf("it is %s: %s", e.State, e.Reason)
+			return fmt.Errorf("got state %s: %s", e.State, e.Reason)
 		}
 	case "reason":
 		if text := strings.Join(w[2:], " "); !strings.Contains(e.Reason, text) {
-			return fmt.Errorf("reason is %q", e.Reason)
+			return fmt.Errorf("got reason %q", e.Reason)
 		}
 	case "stable":
 		if p.s.Stable != Version(n) {
-			return fmt.Errorf("it is %d", p.s.Stable)
+			return fmt.Errorf("got stable version %d", p.s.Stable)
 		}
 	case "error":
 		if text := strings.Join(w[1:], " "); p.err == nil || !strings.Contains(p.err.Error(), text) {
-			return fmt.Errorf("error is %v", p.err)
+			return fmt.Errorf("got error %v", p.err)
 		}
 	case "targets":
 		counts := map[Version]int{}
@@ -170,17 +172,18 @@
 			v, count, _ := strings.Cut(pair, "=")
 			n, _ := strconv.Atoi(v)
 			if strconv.Itoa(counts[Version(n)]) != count {
-				return fmt.Errorf("targets are %v", counts)
+				return fmt.Errorf("got targets %v", counts)
 			}
 		}
 	default:
-		return fmt.Errorf("nothing like that to want")
+		return fmt.Errorf("unknown expectation")
 	}
 	return nil
 }
 
-// Whatever comes in whatever order: no number is used twice or falls, a follower's target never falls, a state that was
-// through a snapshot decides alike, and once all is quiet a good newest version is accepted everywhere.
+// For random events in random order: version numbers only rise, a follower's target never falls below the version that it
+// runs, and a good version that is submitted last is accepted by all followers. All of this also holds for a state that
+// was restored from a snapshot.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := Settings{Stages: []float64{0.3, 1}, Hold: 20, AnswerTimeout: 300, LiveTimeout: 200, MaxOKDrop: 0.2, MinRPCs: 50}
@@ -251,12 +254,12 @@
 				for _, name := range names() {
 					v := s.Target(name)
 					if r := runs[name]; r.Version > 0 && v < r.Version {
-						t.Fatalf("%s runs %d and is to run %d", name, r.Version, v)
+						t.Fatalf("%s runs version %d, but its target is %d", name, r.Version, v)
 					}
 					targets[name] = v
 				}
 				if s.Stable != 0 && s.Entries[s.Stable].Text == "bad" {
-					t.Fatalf("a bad version is accepted")
+					t.Fatalf("a bad version was accepted")
 				}
 			},
 		})
@@ -271,17 +274,17 @@
 			step(20)
 		}
 		if e := s.Entries[s.Stable]; e == nil || e.Text != "good" {
-			t.Fatalf("quiet, and version %d is %+v; stable %d", v, s.Entries[v], s.Stable)
+			t.Fatalf("the last version %d is %+v; the stable version is %d", v, s.Entries[v], s.Stable)
 		}
 		for _, r := range runs {
 			if r.Digest != "good" {
-				t.Fatalf("%+v at the end", r)
+				t.Fatalf("follower %+v does not run the last version", r)
 			}
 		}
 	})
 }
 
-// The same verdict every time: cases are drawn from one seed, unless a command line names another.
+// TestMain fixes the seed of the random tests, unless the command line gives one, so that every run tests the same cases.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
