--- a/internal/configdiff/resources.go
+++ b/internal/configdiff/resources.go
@@ -1,4 +1,5 @@
-// Package configdiff compares configurations resource by resource: what one changes in another, and what comes of a change.
+// Package configdiff compares configurations resource by resource: it computes the changes from one to another, and
+// applies changes to a configuration.
 package configdiff
 
 import (
@@ -10,60 +11,60 @@
 	"mallowlanding/internal/settings"
 )
 
-// Digest is of a configuration's text.
+// Digest returns the digest of a configuration's text: its SHA-256 in hexadecimal.
 func Digest(text string) string {
 	sum := sha256.Sum256([]byte(text))
 	return hex.EncodeToString(sum[:])
 }
 
-// ID names a resource.
+// ID identifies a resource of a configuration.
 type ID struct{ Type, Name string }
 
-// Canonical is the one text of a well-formed configuration, and its parts.
+// Canonical returns the canonical text of a well-formed configuration, and its resources. Errors name file.
 func Canonical(file, text string) (string, []settings.Resource, error) {
-	parts, err := settings.ReadResources(file, strings.NewReader(text))
+	resources, err := settings.ReadResources(file, strings.NewReader(text))
 	if err != nil {
 		return "", nil, err
 	}
-	return settings.ResourcesText(parts), parts, nil
+	return settings.ResourcesText(resources), resources, nil
 }
 
-func byID(parts []settings.Resource) map[ID]string {
+func textsByID(resources []settings.Resource) map[ID]string {
 	out := map[ID]string{}
-	for _, p := range parts {
+	for _, p := range resources {
 		out[ID{p.Type, p.Name}] = p.Text
 	}
 	return out
 }
 
-// Diff are what must be set and removed to come from one configuration to another.
+// Diff returns the resources to set and to remove in order to turn configuration from into configuration to.
 func Diff(from, to []settings.Resource) (set []settings.Resource, removed []ID) {
-	before, after := byID(from), byID(to)
+	before, after := textsByID(from), textsByID(to)
 	for _, p := range to {
-		if text, had := before[ID{p.Type, p.Name}]; !had || text != p.Text {
+		if text, existed := before[ID{p.Type, p.Name}]; !existed || text != p.Text {
 			set = append(set, p)
 		}
 	}
 	for _, p := range from {
-		if _, has := after[ID{p.Type, p.Name}]; !has {
+		if _, exists := after[ID{p.Type, p.Name}]; !exists {
 			removed = append(removed, ID{p.Type, p.Name})
 		}
 	}
 	return set, removed
 }
 
-// Patch is a configuration with changes made.
+// Patch returns the resources of base with the given ones set and removed, in canonical order.
 func Patch(base, set []settings.Resource, removed []ID) []settings.Resource {
-	drop := map[ID]bool{}
+	replaced := map[ID]bool{}
 	for _, id := range removed {
-		drop[id] = true
+		replaced[id] = true
 	}
 	for _, p := range set {
-		drop[ID{p.Type, p.Name}] = true
+		replaced[ID{p.Type, p.Name}] = true
 	}
 	var out []settings.Resource
 	for _, p := range base {
-		if !drop[ID{p.Type, p.Name}] {
+		if !replaced[ID{p.Type, p.Name}] {
 			out = append(out, p)
 		}
 	}
@@ -72,17 +73,18 @@
 	return out
 }
 
-// FormatDiff tell the difference for people: each resource that one has and the other has not, or has otherwise.
+// FormatDiff returns the difference as lines of text for people: each resource that was added (+), removed (-) or
+// changed (!).
 func FormatDiff(from, to []settings.Resource) (out []string) {
 	set, removed := Diff(from, to)
-	before := byID(from)
+	before := textsByID(from)
 	for _, id := range removed {
 		out = append(out, fmt.Sprintf("- %s %s", id.Type, id.Name))
 	}
 	for _, p := range set {
-		if was, had := before[ID{p.Type, p.Name}]; had {
+		if oldText, existed := before[ID{p.Type, p.Name}]; existed {
 			out = append(out, fmt.Sprintf("! %s %s", p.Type, p.Name))
-			for line := range strings.Lines(was) {
+			for line := range strings.Lines(oldText) {
 				out = append(out, "    - "+strings.TrimRight(line, "\n"))
 			}
 		} else {
