--- a/internal/configupdate/adopt.go
+++ b/internal/configupdate/adopt.go
@@ -1,205 +1,220 @@
-// Package configupdate decides what a follower of streamed configuration does with each version that it is offered: check it,
-// accept it, turn it down, wait with it, or go back to one that stood before. No I/O, no goroutines, no clock; the shell
-// around it does streams, files and sockets. docs/design/streamed-configuration.md has the states.
+// Package configupdate is the state machine of a follower of streamed configuration. It decides what to do with each
+// version that it is offered: check, apply and accept it, refuse it, queue it behind another, or change only the number
+// of the version in force. It does no I/O, starts no goroutines and reads no clock; package configclient has the streams,
+// files and sockets. docs/design/streamed-configuration.md has the states.
 package configupdate
 
 import "fmt"
 
-// Version is a configuration's number. Numbers only rise; 0 is the settings that a follower was started with.
+// Version is the number of a configuration. Numbers only rise; 0 stands for the settings that a follower is started
+// with.
 type Version uint64
 
-// VersionRef is a version that is in force, or was turned down, by the digest of its text.
+// VersionRef identifies a version by its number and the digest of its text.
 type VersionRef struct {
 	Version Version
 	Digest  string
 }
 
-// Offer is one response of the stream, as it came.
+// Offer is a response of the stream.
 type Offer struct {
 	VersionRef
 	Nonce    string
-	Base     Version // what its changes are to; 0: it is whole
-	DigestOK bool    // its text, once put together, has the digest
+	Base     Version // version that its changes are relative to; 0: it has the full configuration
+	DigestOK bool    // whether the resulting text has the digest of the response
 }
 
-// Actions is what the module acts through. Check, Apply and Keep are answered by Checked, Applied and Kept, in a later
-// event.
+// Actions is what a Follower acts through. The results of Check, Apply and Save arrive later, by HandleCheckResult,
+// HandleApplyResult and HandleSaveResult.
 type Actions interface {
-	Check(v Version)                                            // the whole of it, against what the follower knows
-	Apply(v Version)                                            // between two turns, all or nothing
-	Save(v Version)                                             // on disk, as the last good one
-	Accept(nonce string, kept bool)                             // tell the service; what is in force goes with it
-	Refuse(nonce string, v Version, why string)                 // likewise
-	RequestFull(nonce string)                                   // its changes did not fit: send all of it
-	Log(text string)                                            // one line for those on call
-	SendStatus(held VersionRef, refused Version, kept, up bool) // what a new stream, or one that stands (up), is told unasked
-}
-
-// phase is what is being done with the offer at work.
+	// Check checks the full configuration against what the follower supports.
+	Check(v Version)
+	// Apply puts the version in force between two turns of the event loop, all of it or nothing.
+	Apply(v Version)
+	// Save writes the version to disk as the last good one.
+	Save(v Version)
+	// Accept acknowledges a response to the service, together with the version in force.
+	Accept(nonce string, saved bool)
+	// Refuse refuses a response, likewise with the version in force.
+	Refuse(nonce string, v Version, reason string)
+	// RequestFull asks for the full configuration because the changes did not fit.
+	RequestFull(nonce string)
+	// Log logs one line for the operators.
+	Log(text string)
+	// SendStatus reports the version in force to the service, unasked, on a new stream or (if connected) on an
+	// established one.
+	SendStatus(current VersionRef, refused Version, saved, connected bool)
+}
+
+// phase is the step at which the current offer is.
 type phase uint8
 
 const (
 	idle phase = iota
 	checking
 	applying
-	keeping
+	saving
 )
 
-// Follower is the module of one follower.
+// Follower is the state of one follower.
 type Follower struct {
-	port    Actions
-	held    VersionRef
-	kept    bool // what is held is on disk
-	refused VersionRef
-	why     string
-	up      bool // a stream stands
+	actions   Actions
+	current   VersionRef
+	saved     bool // whether current is on disk
+	refused   VersionRef
+	refusal   string // the reason for refusing it
+	connected bool   // whether a stream is established
 
-	work  Offer
-	phase phase
-	void  bool  // the stream that brought work is gone: nobody waits for the answer
-	next  Offer // came while another is at work; the newest alone
-	waits bool
+	offer      Offer // being processed, unless phase is idle
+	phase      phase
+	orphaned   bool  // the stream of offer has ended: the service does not wait for its answer
+	pending    Offer // newest offer received while another is being processed
+	hasPending bool
 
-	answered string // nonce of the last answer
-	again    func() // gives it again
+	answeredNonce string // nonce of the last answer
+	resend        func() // sends that answer again
 }
 
-// New starts with what was found: the last good version, or none (Held{}).
-func New(port Actions, held VersionRef, kept bool) *Follower {
-	return &Follower{port: port, held: held, kept: kept}
+// New returns a follower that has the last good version in force, or none (the zero VersionRef).
+func New(actions Actions, current VersionRef, saved bool) *Follower {
+	return &Follower{actions: actions, current: current, saved: saved}
 }
 
-// Current is what is in force, and whether the disk has it.
-func (f *Follower) Current() (VersionRef, bool) { return f.held, f.kept }
+// Current returns the version in force, and whether it is on disk.
+func (f *Follower) Current() (VersionRef, bool) { return f.current, f.saved }
 
-// LastRefused is what was turned down last, and why.
-func (f *Follower) LastRefused() (VersionRef, string) { return f.refused, f.why }
+// LastRefused returns the version that was refused last, and the reason.
+func (f *Follower) LastRefused() (VersionRef, string) { return f.refused, f.refusal }
 
-// HandleConnect tells of a new stream: it is told what is in force. Answers of the one before are void.
+// HandleConnect handles a new stream by sending the version in force. Answers to offers of the previous stream are not
+// sent any more.
 func (f *Follower) HandleConnect() {
-	f.up, f.answered, f.again = true, "", nil
-	f.port.SendStatus(f.held, f.refused.Version, f.kept, false)
+	f.connected, f.answeredNonce, f.resend = true, "", nil
+	f.actions.SendStatus(f.current, f.refused.Version, f.saved, false)
 }
 
-// HandleDisconnect tells that the stream broke. What is at work goes on; its answer reaches the service with the next stream's
-// first message.
+// HandleDisconnect handles the end of the stream. Processing of the current offer goes on; the service learns its result
+// from the first message of the next stream, or on it.
 func (f *Follower) HandleDisconnect() {
-	f.up, f.void, f.waits = false, true, false
+	f.connected, f.orphaned, f.hasPending = false, true, false
 }
 
-// HandleOffer takes a response.
+// HandleOffer handles a response of the stream.
 func (f *Follower) HandleOffer(o Offer) {
 	switch {
-	case o.Nonce == f.answered && f.again != nil: // the response came twice: so does its answer, and nothing else
-		f.again()
-	case f.phase != idle && !f.void && o.Nonce == f.work.Nonce: // likewise; the answer comes
-	case f.phase != idle && o.VersionRef == f.work.VersionRef: // a new stream brings what is at work: its answer goes there
-		f.work.Nonce, f.void = o.Nonce, false
+	case o.Nonce == f.answeredNonce && f.resend != nil: // a repeated response: the answer is repeated, too
+		f.resend()
+	case f.phase != idle && !f.orphaned && o.Nonce == f.offer.Nonce: // a repeated response that is still being processed
+	case f.phase != idle && o.VersionRef == f.offer.VersionRef: // offered again on a new stream: the answer goes there
+		f.offer.Nonce, f.orphaned = o.Nonce, false
 	case f.phase != idle:
-		f.next, f.waits = o, true
+		f.pending, f.hasPending = o, true
 	default:
-		f.take(o)
+		f.process(o)
 	}
 }
 
-// take decides on an offer while none is at work.
-func (f *Follower) take(o Offer) {
-	f.work, f.void = o, false
+// process decides about an offer while no other one is being processed.
+func (f *Follower) process(o Offer) {
+	f.offer, f.orphaned = o, false
 	switch {
-	case o.Base != 0 && o.Base != f.held.Version:
-		f.askWhole(o.Nonce)
-	case !o.DigestOK && o.Base != 0: // what it was put on may be at fault
-		f.askWhole(o.Nonce)
+	case o.Base != 0 && o.Base != f.current.Version:
+		f.requestFull(o.Nonce)
+	case !o.DigestOK && o.Base != 0: // the base may be at fault
+		f.requestFull(o.Nonce)
 	case !o.DigestOK:
-		f.turnDown(fmt.Sprintf("version %d: its text has not the digest that came with it", o.Version))
-	case o.VersionRef == f.held:
+		f.refuse(fmt.Sprintf("version %d: the digest of its text is not the one that was sent with it", o.Version))
+	case o.VersionRef == f.current:
 		f.accept()
-	case o.Version == f.held.Version:
-		f.turnDown(fmt.Sprintf("version %d differs from the one in force under that number: was the service's store replaced?", o.Version))
-	case o.Version < f.held.Version:
-		f.turnDown(fmt.Sprintf("version %d is older than %d, which is in force: was the service's store restored?", o.Version, f.held.Version))
+	case o.Version == f.current.Version:
+		f.refuse(fmt.Sprintf("version %d differs from the one in force under that number: was the service's store replaced?",
+			o.Version))
+	case o.Version < f.current.Version:
+		f.refuse(fmt.Sprintf("version %d is older than %d, which is in force: was the service's store restored?", o.Version,
+			f.current.Version))
 	case o.VersionRef == f.refused:
-		f.turnDown(f.why)
-	case o.Digest == f.held.Digest: // it went back to what stands: only the number is new
-		f.held.Version = o.Version
-		f.phase = keeping
-		f.port.Save(o.Version)
+		f.refuse(f.refusal)
+	case o.Digest == f.current.Digest: // the text is in force already: only the number is new
+		f.current.Version = o.Version
+		f.phase = saving
+		f.actions.Save(o.Version)
 	default:
 		f.phase = checking
-		f.port.Check(o.Version)
+		f.actions.Check(o.Version)
 	}
 }
 
-// HandleCheckResult tells what came of a check; an empty why: it is good.
-func (f *Follower) HandleCheckResult(v Version, why string) {
-	if f.phase != checking || v != f.work.Version {
+// HandleCheckResult handles the result of Check. An empty reason means that the version is valid.
+func (f *Follower) HandleCheckResult(v Version, reason string) {
+	if f.phase != checking || v != f.offer.Version {
 		return
 	}
-	if why != "" {
-		f.turnDown(why)
+	if reason != "" {
+		f.refuse(reason)
 		return
 	}
 	f.phase = applying
-	f.port.Apply(v)
+	f.actions.Apply(v)
 }
 
-// HandleApplyResult tells what came of it; with a why nothing of it is in force, and what stood before stands.
-func (f *Follower) HandleApplyResult(v Version, why string) {
-	if f.phase != applying || v != f.work.Version {
+// HandleApplyResult handles the result of Apply. With a reason, Apply failed and the previous version is still in force
+// unchanged.
+func (f *Follower) HandleApplyResult(v Version, reason string) {
+	if f.phase != applying || v != f.offer.Version {
 		return
 	}
-	if why != "" {
-		f.turnDown(why)
+	if reason != "" {
+		f.refuse(reason)
 		return
 	}
-	f.port.Log(fmt.Sprintf("version %d in force, before it %d", v, f.held.Version))
-	f.held, f.kept = f.work.VersionRef, false
-	f.phase = keeping
-	f.port.Save(v)
+	f.actions.Log(fmt.Sprintf("version %d is in force, replacing version %d", v, f.current.Version))
+	f.current, f.saved = f.offer.VersionRef, false
+	f.phase = saving
+	f.actions.Save(v)
 }
 
-// HandleSaveResult tells whether the version is on disk. One that can't be kept is in force and accepted all the same: the service
-// is told, and a restart begins with the one kept before.
-func (f *Follower) HandleSaveResult(v Version, why string) {
-	if f.phase != keeping || v != f.work.Version {
+// HandleSaveResult handles the result of Save. A version that cannot be saved is in force and is accepted all the same:
+// the service is informed, and a restart uses the version that was saved before.
+func (f *Follower) HandleSaveResult(v Version, reason string) {
+	if f.phase != saving || v != f.offer.Version {
 		return
 	}
-	if f.kept = why == ""; !f.kept {
-		f.port.Log(fmt.Sprintf("version %d not kept, a restart begins with the one kept before: %s", v, why))
+	if f.saved = reason == ""; !f.saved {
+		f.actions.Log(fmt.Sprintf("version %d not saved, a restart will use the one saved before: %s", v, reason))
 	}
 	f.accept()
 }
 
 func (f *Follower) accept() {
-	kept := f.kept
-	f.answer(func(nonce string) { f.port.Accept(nonce, kept) })
+	saved := f.saved
+	f.respond(func(nonce string) { f.actions.Accept(nonce, saved) })
 }
 
-func (f *Follower) turnDown(why string) {
-	if f.refused != f.work.VersionRef {
-		f.port.Log(fmt.Sprintf("version %d turned down, %d stays in force: %s", f.work.Version, f.held.Version, why))
+func (f *Follower) refuse(reason string) {
+	if f.refused != f.offer.VersionRef {
+		f.actions.Log(fmt.Sprintf("version %d refused, %d stays in force: %s", f.offer.Version, f.current.Version, reason))
 	}
-	f.refused, f.why = f.work.VersionRef, why
-	v := f.work.Version
-	f.answer(func(nonce string) { f.port.Refuse(nonce, v, why) })
+	f.refused, f.refusal = f.offer.VersionRef, reason
+	v := f.offer.Version
+	f.respond(func(nonce string) { f.actions.Refuse(nonce, v, reason) })
 }
 
-// askWhole answers changes that don't fit; it is no verdict on the version.
-func (f *Follower) askWhole(nonce string) {
-	f.answer(func(string) { f.port.RequestFull(nonce) })
+// requestFull answers an offer whose changes do not fit. It neither accepts nor refuses the version.
+func (f *Follower) requestFull(nonce string) {
+	f.respond(func(string) { f.actions.RequestFull(nonce) })
 }
 
-// answer gives the one answer to the offer at work, and takes the one that waits.
-func (f *Follower) answer(give func(nonce string)) {
+// respond sends the answer to the current offer, and goes on with the pending one.
+func (f *Follower) respond(send func(nonce string)) {
 	f.phase = idle
-	if nonce := f.work.Nonce; !f.void && f.up {
-		f.answered, f.again = nonce, func() { give(nonce) }
-		give(nonce)
-	} else if f.up { // its stream is gone, another stands: it learns of it at once
-		f.port.SendStatus(f.held, f.refused.Version, f.kept, true)
+	if nonce := f.offer.Nonce; !f.orphaned && f.connected {
+		f.answeredNonce, f.resend = nonce, func() { send(nonce) }
+		send(nonce)
+	} else if f.connected { // the offer's stream was replaced by another: report the state there
+		f.actions.SendStatus(f.current, f.refused.Version, f.saved, true)
 	}
-	if f.waits {
-		f.waits = false
-		f.take(f.next)
+	if f.hasPending {
+		f.hasPending = false
+		f.process(f.pending)
 	}
 }
--- a/internal/configupdate/adopt_test.go
+++ b/internal/configupdate/adopt_test.go
@@ -11,34 +11,39 @@
 	"pgregory.net/rapid"
 )
 
-type stage struct {
-	did  []string
-	logs []string
+// recorder implements Actions and records what the follower does.
+type recorder struct {
+	actions []string
+	logs    []string
 }
 
-func (s *stage) act(format string, args ...any) { s.did = append(s.did, fmt.Sprintf(format, args...)) }
+func (s *recorder) record(format string, args ...any) {
+	s.actions = append(s.actions, fmt.Sprintf(format, args...))
+}
 
-func (s *stage) Check(v Version)                { s.act("check %d", v) }
-func (s *stage) Apply(v Version)                { s.act("apply %d", v) }
-func (s *stage) Save(v Version)                 { s.act("keep %d", v) }
-func (s *stage) Accept(nonce string, kept bool) { s.act("accept %s kept=%t", nonce, kept) }
-func (s *stage) Refuse(nonce string, v Version, why string) {
-	s.act("turn-down %s %d", nonce, v)
+func (s *recorder) Check(v Version)                 { s.record("check %d", v) }
+func (s *recorder) Apply(v Version)                 { s.record("apply %d", v) }
+func (s *recorder) Save(v Version)                  { s.record("keep %d", v) }
+func (s *recorder) Accept(nonce string, saved bool) { s.record("accept %s kept=%t", nonce, saved) }
+func (s *recorder) Refuse(nonce string, v Version, reason string) {
+	s.record("turn-down %s %d", nonce, v)
 }
-func (s *stage) RequestFull(nonce string) { s.act("ask-whole %s", nonce) }
-func (s *stage) Log(text string)          { s.logs = append(s.logs, text) }
-func (s *stage) SendStatus(h VersionRef, refused Version, kept, up bool) {
-	s.act("tell %d refused=%d kept=%t", h.Version, refused, kept)
+func (s *recorder) RequestFull(nonce string) { s.record("ask-whole %s", nonce) }
+func (s *recorder) Log(text string)          { s.logs = append(s.logs, text) }
+func (s *recorder) SendStatus(current VersionRef, refused Version, saved, connected bool) {
+	s.record("tell %d refused=%d kept=%t", current.Version, refused, saved)
 }
 
-// Scenarios, each under a line of '== NAME'; a follower that holds version 3 of digest c, kept.
+// The scenarios of testdata/follower.txt, each below a line '== NAME'. The follower starts with version 3 of digest c in
+// force and saved.
 //
 //	connected | lost
 //	offer NONCE VERSION DIGEST [base=V] [unsound]
-//	checked V [why] | applied V [why] | kept V [why]
-//	want ACTION          the next thing done
+//	checked V [reason] | applied V [reason] | kept V [reason]
+//	want ACTION          the next action of the follower
 //
-// Everything done must be wanted before the next step.
+// Each action must be expected before the next step. The scripts call an offer with a wrong digest unsound, Save keep,
+// Refuse turn-down, RequestFull ask-whole and SendStatus tell.
 func TestScenarios(t *testing.T) {
 	text, err := os.ReadFile("testdata/follower.txt")
 	if err != nil {
@@ -48,7 +53,7 @@
 	for part := range strings.SplitSeq(all, "\n== ") {
 		name, steps, _ := strings.Cut(part, "\n")
 		t.Run(name, func(t *testing.T) {
-			s := &stage{}
+			s := &recorder{}
 			f := New(s, VersionRef{3, "c"}, true)
 			for line := range strings.Lines(steps) {
 				w := strings.Fields(line)
@@ -56,19 +61,19 @@
 					continue
 				}
 				if w[0] == "want" {
-					if want := strings.Join(w[1:], " "); len(s.did) == 0 || s.did[0] != want {
-						t.Fatalf("want %q, did %q", want, s.did)
+					if want := strings.Join(w[1:], " "); len(s.actions) == 0 || s.actions[0] != want {
+						t.Fatalf("got actions %[2]q, want %[1]q next", want, s.actions)
 					}
-					s.did = s.did[1:]
+					s.actions = s.actions[1:]
 					continue
 				}
-				if len(s.did) > 0 {
-					t.Fatalf("before %q: also did %q", strings.TrimSpace(line), s.did)
+				if len(s.actions) > 0 {
+					t.Fatalf("before step %q: unexpected actions %q", strings.TrimSpace(line), s.actions)
 				}
 				step(t, f, w)
 			}
-			if len(s.did) > 0 {
-				t.Fatalf("at the end: also did %q", s.did)
+			if len(s.actions) > 0 {
+				t.Fatalf("at the end: unexpected actions %q", s.actions)
 			}
 		})
 	}
@@ -104,206 +109,207 @@
 	case "kept":
 		f.HandleSaveResult(number(1), strings.Join(w[2:], " "))
 	default:
-		t.Fatalf("no step %q", w[0])
+		t.Fatalf("unknown step %q", w[0])
 	}
 }
 
-// world is a service, a stream that loses and repeats, and the shell around a follower; all by chance.
-type world struct {
-	t        *rapid.T
-	f        *Follower
-	texts    map[Version]string
-	bad      map[Version]bool
-	newest   Version
-	up       bool
-	nonce    int
-	sent     string // the nonce not answered yet
-	offer    Offer
-	answers  map[string]int // by nonce
-	known    VersionRef     // what the service believes in force
-	inForce  VersionRef     // what acts
-	disk     VersionRef
-	pending  []func()
-	maxForce Version
-	tolds    int
+// simulation is a service, a stream that breaks and repeats responses, and the actions of a follower, all at random.
+type simulation struct {
+	t          *rapid.T
+	f          *Follower
+	texts      map[Version]string
+	bad        map[Version]bool
+	newest     Version
+	connected  bool
+	nonce      int
+	unanswered string // nonce of the unanswered response
+	offer      Offer
+	answers    map[string]int // by nonce
+	reported   VersionRef     // the version in force, as last reported to the service
+	inForce    VersionRef     // the version that is really in force
+	saved      VersionRef
+	pending    []func()
+	maxApplied Version
+	statuses   int
 }
 
-func (w *world) Check(v Version) {
-	bad := w.bad[v]
-	w.pending = append(w.pending, func() {
+func (sim *simulation) Check(v Version) {
+	bad := sim.bad[v]
+	sim.pending = append(sim.pending, func() {
 		if bad {
-			w.f.HandleCheckResult(v, "bad")
+			sim.f.HandleCheckResult(v, "bad")
 		} else {
-			w.f.HandleCheckResult(v, "")
+			sim.f.HandleCheckResult(v, "")
 		}
 	})
 }
 
-func (w *world) Apply(v Version) {
-	if w.bad[v] {
-		w.t.Fatalf("version %d is bad, and was applied", v)
+func (sim *simulation) Apply(v Version) {
+	if sim.bad[v] {
+		sim.t.Fatalf("bad version %d was applied", v)
 	}
-	if v < w.maxForce {
-		w.t.Fatalf("version %d after %d", v, w.maxForce)
+	if v < sim.maxApplied {
+		sim.t.Fatalf("version %d applied after version %d", v, sim.maxApplied)
 	}
-	fails := rapid.IntRange(0, 9).Draw(w.t, "apply fails") == 0
-	w.pending = append(w.pending, func() {
+	fails := rapid.IntRange(0, 9).Draw(sim.t, "apply fails") == 0
+	sim.pending = append(sim.pending, func() {
 		if fails {
-			w.f.HandleApplyResult(v, "no socket")
+			sim.f.HandleApplyResult(v, "no socket")
 			return
 		}
-		w.inForce, w.maxForce = VersionRef{v, w.texts[v]}, v
-		w.f.HandleApplyResult(v, "")
+		sim.inForce, sim.maxApplied = VersionRef{v, sim.texts[v]}, v
+		sim.f.HandleApplyResult(v, "")
 	})
 }
 
-func (w *world) Save(v Version) {
-	fails := rapid.IntRange(0, 9).Draw(w.t, "keep fails") == 0
-	w.pending = append(w.pending, func() {
+func (sim *simulation) Save(v Version) {
+	fails := rapid.IntRange(0, 9).Draw(sim.t, "keep fails") == 0
+	sim.pending = append(sim.pending, func() {
 		if fails {
-			w.f.HandleSaveResult(v, "disk full")
+			sim.f.HandleSaveResult(v, "disk full")
 			return
 		}
-		w.disk = VersionRef{v, w.texts[v]}
-		w.inForce.Version = v // a version of the same text takes its number with the keeping
-		w.f.HandleSaveResult(v, "")
+		sim.saved = VersionRef{v, sim.texts[v]}
+		sim.inForce.Version = v // a version with the same text is only saved, not applied
+		sim.f.HandleSaveResult(v, "")
 	})
 }
 
-func (w *world) answer(nonce string) {
-	if !w.up {
-		w.t.Fatalf("answer to %s without a stream", nonce)
+func (sim *simulation) answer(nonce string) {
+	if !sim.connected {
+		sim.t.Fatalf("answer to response %s without a stream", nonce)
 	}
-	w.answers[nonce]++
-	if nonce == w.sent {
-		w.sent = ""
+	sim.answers[nonce]++
+	if nonce == sim.unanswered {
+		sim.unanswered = ""
 	}
-	w.known, _ = w.f.Current()
+	sim.reported, _ = sim.f.Current()
 }
 
-func (w *world) Accept(nonce string, kept bool) {
-	held, isKept := w.f.Current()
-	if kept && w.disk != held || kept != isKept {
-		w.t.Fatalf("told that %v is kept, the disk has %v", held, w.disk)
+func (sim *simulation) Accept(nonce string, saved bool) {
+	current, isSaved := sim.f.Current()
+	if saved && sim.saved != current || saved != isSaved {
+		sim.t.Fatalf("%v reported as saved, but the disk has %v", current, sim.saved)
 	}
-	if held.Digest != w.inForce.Digest {
-		w.t.Fatalf("accepted %v, in force is %v", held, w.inForce)
+	if current.Digest != sim.inForce.Digest {
+		sim.t.Fatalf("%v accepted, but %v is in force", current, sim.inForce)
 	}
-	w.answer(nonce)
+	sim.answer(nonce)
 }
 
-func (w *world) Refuse(nonce string, v Version, why string) {
-	if why == "" {
-		w.t.Fatal("turned down without a reason")
+func (sim *simulation) Refuse(nonce string, v Version, reason string) {
+	if reason == "" {
+		sim.t.Fatal("version refused without a reason")
 	}
-	if held, _ := w.f.Current(); held.Version == v && held.Digest == w.texts[v] {
-		w.t.Fatalf("version %d is in force and was turned down", v)
+	if current, _ := sim.f.Current(); current.Version == v && current.Digest == sim.texts[v] {
+		sim.t.Fatalf("version %d is in force, but was refused", v)
 	}
-	w.answer(nonce)
+	sim.answer(nonce)
 }
 
-func (w *world) RequestFull(nonce string) { w.answer(nonce) }
-func (w *world) Log(string)               {}
-func (w *world) SendStatus(h VersionRef, _ Version, kept, up bool) {
-	w.known = h
-	w.tolds++
+func (sim *simulation) RequestFull(nonce string) { sim.answer(nonce) }
+func (sim *simulation) Log(string)               {}
+func (sim *simulation) SendStatus(current VersionRef, _ Version, saved, connected bool) {
+	sim.reported = current
+	sim.statuses++
 }
 
-// Whatever the service, the stream, the disk and a crash do: only good versions act, numbers never fall, each response
-// has one answer, what was told as kept is on disk, and once all is quiet the follower has the newest good version that it can.
+// For random events at the service, the stream and the disk, and random crashes: only valid versions are applied, version
+// numbers never go back, each response has one answer, what was reported as saved is on disk, and once no event is left
+// the follower runs the newest version or has refused it.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{t: t, texts: map[Version]string{0: ""}, bad: map[Version]bool{}, answers: map[string]int{}}
-		w.f = New(w, VersionRef{}, false)
+		sim := &simulation{t: t, texts: map[Version]string{0: ""}, bad: map[Version]bool{}, answers: map[string]int{}}
+		sim.f = New(sim, VersionRef{}, false)
 		send := func() {
-			if !w.up || w.sent != "" || w.newest == 0 {
+			if !sim.connected || sim.unanswered != "" || sim.newest == 0 {
 				return
 			}
-			w.nonce++
-			w.sent = strconv.Itoa(w.nonce)
-			w.offer = Offer{VersionRef: VersionRef{w.newest, w.texts[w.newest]}, Nonce: w.sent, DigestOK: true}
-			if w.known.Version > 0 && rapid.Bool().Draw(w.t, "changes") {
-				w.offer.Base = w.known.Version
+			sim.nonce++
+			sim.unanswered = strconv.Itoa(sim.nonce)
+			sim.offer = Offer{VersionRef: VersionRef{sim.newest, sim.texts[sim.newest]}, Nonce: sim.unanswered, DigestOK: true}
+			if sim.reported.Version > 0 && rapid.Bool().Draw(sim.t, "changes") {
+				sim.offer.Base = sim.reported.Version
 			}
-			w.f.HandleOffer(w.offer)
+			sim.f.HandleOffer(sim.offer)
 		}
 		connect := func() {
-			if !w.up {
-				w.up, w.sent = true, ""
-				w.f.HandleConnect()
+			if !sim.connected {
+				sim.connected, sim.unanswered = true, ""
+				sim.f.HandleConnect()
 			}
 		}
-		lose := func() {
-			if w.up {
-				w.up, w.sent = false, ""
-				w.f.HandleDisconnect()
+		disconnect := func() {
+			if sim.connected {
+				sim.connected, sim.unanswered = false, ""
+				sim.f.HandleDisconnect()
 			}
 		}
 		finish := func() {
-			for len(w.pending) > 0 {
-				do := w.pending[0]
-				w.pending = w.pending[1:]
+			for len(sim.pending) > 0 {
+				do := sim.pending[0]
+				sim.pending = sim.pending[1:]
 				do()
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"submit": func(*rapid.T) {
-				w.newest++
-				w.texts[w.newest] = strconv.Itoa(rapid.IntRange(0, 5).Draw(w.t, "text"))
-				w.bad[w.newest] = w.texts[w.newest] == "5"
+				sim.newest++
+				sim.texts[sim.newest] = strconv.Itoa(rapid.IntRange(0, 5).Draw(sim.t, "text"))
+				sim.bad[sim.newest] = sim.texts[sim.newest] == "5"
 			},
 			"send":    func(*rapid.T) { send() },
 			"connect": func(*rapid.T) { connect() },
-			"lose":    func(*rapid.T) { lose() },
+			"lose":    func(*rapid.T) { disconnect() },
 			"repeat": func(*rapid.T) {
-				if w.up && w.offer.Nonce == strconv.Itoa(w.nonce) {
-					before := w.answers[w.offer.Nonce]
-					w.f.HandleOffer(w.offer)
-					if before > 0 && w.answers[w.offer.Nonce] != before+1 && len(w.pending) == 0 && w.sent == "" {
-						t.Fatalf("a response that came again has no answer again")
+				if sim.connected && sim.offer.Nonce == strconv.Itoa(sim.nonce) {
+					before := sim.answers[sim.offer.Nonce]
+					sim.f.HandleOffer(sim.offer)
+					if before > 0 && sim.answers[sim.offer.Nonce] != before+1 && len(sim.pending) == 0 && sim.unanswered == "" {
+						t.Fatalf("a repeated response was not answered again")
 					}
 				}
 			},
 			"work": func(*rapid.T) {
-				if len(w.pending) > 0 {
-					do := w.pending[0]
-					w.pending = w.pending[1:]
+				if len(sim.pending) > 0 {
+					do := sim.pending[0]
+					sim.pending = sim.pending[1:]
 					do()
 				}
 			},
-			"crash": func(*rapid.T) { // it begins anew from its disk
-				w.up, w.sent, w.pending = false, "", nil
-				w.inForce, w.maxForce = w.disk, w.disk.Version
-				w.f = New(w, w.disk, w.disk.Version > 0)
+			"crash": func(*rapid.T) { // the follower restarts from its disk
+				sim.connected, sim.unanswered, sim.pending = false, "", nil
+				sim.inForce, sim.maxApplied = sim.saved, sim.saved.Version
+				sim.f = New(sim, sim.saved, sim.saved.Version > 0)
 			},
 			"": func(t *rapid.T) {
-				held, _ := w.f.Current()
-				if held.Digest != w.inForce.Digest {
-					t.Fatalf("held %v, in force %v", held, w.inForce)
+				current, _ := sim.f.Current()
+				if current.Digest != sim.inForce.Digest {
+					t.Fatalf("the follower reports %v, but %v is in force", current, sim.inForce)
 				}
-				if w.bad[held.Version] {
-					t.Fatalf("a bad version is held: %v", held)
+				if sim.bad[current.Version] {
+					t.Fatalf("a bad version is in force: %v", current)
 				}
 			},
 		})
 		finish()
 		connect()
-		for range 6 { // a response of changes may be asked for whole; what can't be applied may be offered again
+		for range 6 { // a full response may be requested first, and a failed apply retried
 			send()
 			finish()
 		}
-		held, _ := w.f.Current()
-		refused, _ := w.f.LastRefused()
-		if w.newest > 0 && held.Version != w.newest && refused.Version != w.newest {
-			t.Fatalf("quiet, newest is %d, held %v, refused %v", w.newest, held, refused)
+		current, _ := sim.f.Current()
+		refused, _ := sim.f.LastRefused()
+		if sim.newest > 0 && current.Version != sim.newest && refused.Version != sim.newest {
+			t.Fatalf("at the end: the newest version is %d, in force is %v, refused is %v", sim.newest, current, refused)
 		}
-		if w.sent != "" {
-			t.Fatalf("response %s was never answered", w.sent)
+		if sim.unanswered != "" {
+			t.Fatalf("response %s was not answered", sim.unanswered)
 		}
 	})
 }
 
-// The same verdict every time: cases are drawn from one seed, unless a command line names another.
+// TestMain fixes the seed of the random tests, unless the command line gives one, so that every run tests the same cases.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
