--- a/internal/configclient/steer.go
+++ b/internal/configclient/steer.go
@@ -1,5 +1,6 @@
-// Package configclient is the shell around internal/adopt: it follows a control service over gRPC, has versions checked and
-// applied by whoever runs the front end, and keeps the last good one on disk. It decides nothing about a version.
+// Package configclient connects a front end to the control service: it follows the service over gRPC, has new versions
+// checked and applied by the front end, and saves the last good one to disk. Package configupdate makes the decisions
+// about versions; this package does its I/O.
 package configclient
 
 import (
@@ -22,19 +23,21 @@
 	"mallowlanding/internal/settings"
 )
 
-// textBound is the most bytes of one response.
-const textBound = 64 << 20
+// maxMessageBytes bounds a response of the service.
+const maxMessageBytes = 64 << 20
 
-// silence is how long a stream may bring nothing before the instance is asked whether it lives.
-const silence = 10 * time.Second
+// keepaliveInterval is how long a connection may be idle before it is checked by a keepalive ping.
+const keepaliveInterval = 10 * time.Second
 
-// Change is a version that was checked and can act.
+// Change is a version that was checked and can be applied.
 type Change interface {
-	Apply() error // between two turns, all or nothing
-	Discard()     // it will not act: what was made for it goes
+	// Apply puts the version in force between two turns of the event loop, all of it or nothing.
+	Apply() error
+	// Discard releases what was prepared for a version that will not be applied.
+	Discard()
 }
 
-// Options are a follower's.
+// Options configure a Client.
 type Options struct {
 	Name                 string
 	Sockets              []string
@@ -46,191 +49,196 @@
 	Log                  zerolog.Logger
 }
 
-// Status is where a follower stands.
+// Status is the state of a follower.
 type Status struct {
-	Version   uint64  `json:"version"` // 0: its own settings
+	Version   uint64  `json:"version"` // 0: the front end's own settings
 	Digest    string  `json:"digest,omitempty"`
-	Source    string  `json:"from"` // own settings, disk, service
+	Source    string  `json:"from"` // "own settings", "disk" or "service"
 	Saved     bool    `json:"kept"`
 	Connected bool    `json:"connected"`
-	SilentMs  float64 `json:"silent_ms"` // since the service was last heard of
+	SilentMs  float64 `json:"silent_ms"` // time since the last message of the service
 	Refused   uint64  `json:"refused,omitempty"`
 	Reason    string  `json:"reason,omitempty"`
 }
 
-// Client follows. Its events are done one after the other by Run.
+// Client follows the control service. Run handles its events one after the other.
 type Client struct {
-	o      Options
-	f      *configupdate.Follower
-	events chan func()
-	quit   chan struct{} // closed once Run is over: events are passed over
-
-	parts  []settings.Resource // of what is held
-	from   string
-	offers map[configupdate.Version]*offer
-	send   func(*wire.FollowRequest) // nil: no stream
-	heard  time.Time
-	status atomic.Pointer[Status]
+	options  Options
+	follower *configupdate.Follower
+	events   chan func()
+	stopped  chan struct{} // closed when Run ends; later events are dropped
+
+	resources   []settings.Resource // of the version in force
+	source      string
+	offers      map[configupdate.Version]*offer
+	sendRequest func(*wire.FollowRequest) // nil if there is no stream
+	lastHeard   time.Time
+	status      atomic.Pointer[Status]
 }
 
-// offer is a version that came, put together.
+// offer is a version received from the service, with its changes applied to their base.
 type offer struct {
-	parts  []settings.Resource
-	text   string
-	change Change
+	resources []settings.Resource
+	text      string
+	change    Change
 }
 
-// Initial is what a front end begins with.
+// Initial is the configuration that a front end starts with.
 type Initial struct {
 	Saved  lastgood.Saved
 	Source string
 }
 
-// LoadInitial reads the kept version, if there is a good one, and says so.
-func LoadInitial(o Options) (Initial, bool) {
-	k, problems, ok := o.Store.Load()
+// LoadInitial reads the saved version from disk. It reports whether there is a good one.
+func LoadInitial(options Options) (Initial, bool) {
+	saved, problems, ok := options.Store.Load()
 	for _, p := range problems {
-		o.Log.Warn().Err(p).Msg("a kept configuration is spoilt and not used")
+		options.Log.Warn().Err(p).Msg("a saved configuration is damaged and is ignored")
 	}
 	if !ok {
 		return Initial{Source: "own settings"}, false
 	}
-	return Initial{Saved: k, Source: "disk"}, true
+	return Initial{Saved: saved, Source: "disk"}, true
 }
 
-// New makes a follower that has b in force.
-func New(o Options, b Initial) *Client {
-	s := &Client{o: o, events: make(chan func(), 64), quit: make(chan struct{}), from: b.Source, heard: time.Now(),
-		offers: map[configupdate.Version]*offer{}}
-	held := configupdate.VersionRef{}
-	if b.Saved.Version > 0 {
-		held = configupdate.VersionRef{Version: configupdate.Version(b.Saved.Version), Digest: configdiff.Digest(b.Saved.Text)}
-		if _, parts, err := configdiff.Canonical("kept", b.Saved.Text); err == nil { // it was in force
-			s.parts = parts
+// New returns a client whose initial configuration is in force.
+func New(options Options, initial Initial) *Client {
+	c := &Client{options: options, events: make(chan func(), 64), stopped: make(chan struct{}), source: initial.Source,
+		lastHeard: time.Now(), offers: map[configupdate.Version]*offer{}}
+	current := configupdate.VersionRef{}
+	if initial.Saved.Version > 0 {
+		current = configupdate.VersionRef{Version: configupdate.Version(initial.Saved.Version),
+			Digest: configdiff.Digest(initial.Saved.Text)}
+		if _, resources, err := configdiff.Canonical("kept", initial.Saved.Text); err == nil { // cannot fail: it was in force
+			c.resources = resources
 		}
 	}
-	s.f = configupdate.New((*port)(s), held, held.Version > 0)
-	s.tell()
-	return s
+	c.follower = configupdate.New((*actions)(c), current, current.Version > 0)
+	c.updateStatus()
+	return c
 }
 
-// Status may be asked by any goroutine.
-func (s *Client) Status() Status {
-	return *s.status.Load()
+// Status returns the current state. It is safe for concurrent use.
+func (c *Client) Status() Status {
+	return *c.status.Load()
 }
 
-// tell renews the status.
-func (s *Client) tell() {
-	held, kept := s.f.Current()
-	refused, why := s.f.LastRefused()
-	s.status.Store(&Status{Version: uint64(held.Version), Digest: held.Digest, Source: s.from, Saved: kept,
-		Connected: s.send != nil, SilentMs: float64(time.Since(s.heard).Milliseconds()), Refused: uint64(refused.Version), Reason: why})
+// updateStatus updates what Status returns.
+func (c *Client) updateStatus() {
+	current, saved := c.follower.Current()
+	refused, reason := c.follower.LastRefused()
+	c.status.Store(&Status{Version: uint64(current.Version), Digest: current.Digest, Source: c.source, Saved: saved,
+		Connected: c.sendRequest != nil, SilentMs: float64(time.Since(c.lastHeard).Milliseconds()),
+		Refused: uint64(refused.Version), Reason: reason})
 }
 
-// post has f done by Run.
-func (s *Client) post(f func()) {
+// enqueue has Run execute an event.
+func (c *Client) enqueue(event func()) {
 	select {
-	case s.events <- f:
-	case <-s.quit:
+	case c.events <- event:
+	case <-c.stopped:
 	}
 }
 
-// Run follows until the context ends.
-func (s *Client) Run(ctx context.Context) error {
+// Run follows the control service until the context ends.
+func (c *Client) Run(ctx context.Context) error {
 	done := make(chan struct{})
-	go func() { defer close(done); s.follow(ctx) }()
-	ticker := time.NewTicker(s.o.ReportInterval)
+	go func() { defer close(done); c.followLeader(ctx) }()
+	ticker := time.NewTicker(c.options.ReportInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case f := <-s.events:
+		case f := <-c.events:
 			f()
 		case <-ticker.C:
-			if s.send != nil {
-				held, kept := s.f.Current()
-				refused, _ := s.f.LastRefused()
-				s.say(&wire.FollowRequest{Version: uint64(held.Version), Digest: held.Digest, Kept: kept, Refused: uint64(refused.Version)})
+			if c.sendRequest != nil {
+				current, saved := c.follower.Current()
+				refused, _ := c.follower.LastRefused()
+				c.report(&wire.FollowRequest{Version: uint64(current.Version), Digest: current.Digest, Kept: saved,
+					Refused: uint64(refused.Version)})
 			}
 		case <-ctx.Done():
-			close(s.quit)
+			close(c.stopped)
 			<-done
-			for _, o := range s.offers {
+			for _, o := range c.offers {
 				if o.change != nil {
 					o.change.Discard()
 				}
 			}
 			return nil
 		}
-		s.tell()
+		c.updateStatus()
 	}
 }
 
-// say sends a message with the figures of now.
-func (s *Client) say(r *wire.FollowRequest) {
-	if s.send == nil {
+// report sends a message, if there is a stream, with the follower's name and current counters.
+func (c *Client) report(r *wire.FollowRequest) {
+	if c.sendRequest == nil {
 		return
 	}
-	r.Follower = s.o.Name
-	if s.o.Counters != nil {
-		r.Figures = s.o.Counters()
+	r.Follower = c.options.Name
+	if c.options.Counters != nil {
+		r.Figures = c.options.Counters()
 	}
-	s.send(r)
+	c.sendRequest(r)
 }
 
-// follow keeps a stream to the instance that leads.
-func (s *Client) follow(ctx context.Context) {
-	pause, silent := s.o.RedialMin, false
-	for at := 0; ctx.Err() == nil; at = (at + 1) % len(s.o.Sockets) {
-		stood, err := s.stream(ctx, s.o.Sockets[at])
+// followLeader keeps a stream to the instance that leads, trying the instances in turn.
+func (c *Client) followLeader(ctx context.Context) {
+	pause, loggedLoss := c.options.RedialMin, false
+	for i := 0; ctx.Err() == nil; i = (i + 1) % len(c.options.Sockets) {
+		accepted, err := c.followInstance(ctx, c.options.Sockets[i])
 		if ctx.Err() != nil {
 			return
 		}
 		switch {
-		case stood:
-			s.o.Log.Warn().Err(err).Str("socket", s.o.Sockets[at]).Msg("control service lost: what is in force stands")
-			pause, silent = s.o.RedialMin, true
-			continue // another may lead
-		case status.Code(err) == codes.FailedPrecondition && at < len(s.o.Sockets)-1:
+		case accepted:
+			c.options.Log.Warn().Err(err).Str("socket", c.options.Sockets[i]).
+				Msg("lost the control service; the configuration in force stays")
+			pause, loggedLoss = c.options.RedialMin, true
+			continue // another instance may lead by now
+		case status.Code(err) == codes.FailedPrecondition && i < len(c.options.Sockets)-1:
 			continue
-		case !silent && at == len(s.o.Sockets)-1:
-			silent = true
-			s.o.Log.Warn().Err(err).Msg("no control service is reached: what is in force stands")
+		case !loggedLoss && i == len(c.options.Sockets)-1:
+			loggedLoss = true
+			c.options.Log.Warn().Err(err).Msg("cannot reach the control service; the configuration in force stays")
 		}
-		if at == len(s.o.Sockets)-1 {
+		if i == len(c.options.Sockets)-1 {
 			select {
 			case <-ctx.Done():
 			case <-time.After(pause):
 			}
-			pause = min(2*pause, s.o.RedialMax)
+			pause = min(2*pause, c.options.RedialMax)
 		}
 	}
 }
 
-// stream follows one instance; stood: it was taken.
-func (s *Client) stream(ctx context.Context, socket string) (stood bool, err error) {
-	ctx, end := context.WithCancel(ctx)
-	defer end()
-	cc, err := grpc.NewClient("unix:"+socket, grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(textBound)),
-		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: silence, Timeout: silence / 2}))
+// followInstance follows one instance until the stream ends. It reports whether the instance had accepted the stream,
+// which only the leader does.
+func (c *Client) followInstance(ctx context.Context, socket string) (accepted bool, err error) {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	conn, err := grpc.NewClient("unix:"+socket, grpc.WithTransportCredentials(insecure.NewCredentials()),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)),
+		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveInterval, Timeout: keepaliveInterval / 2}))
 	if err != nil {
 		return false, err
 	}
-	defer cc.Close()
-	st, err := wire.NewConfigurationClient(cc).Follow(ctx)
+	defer conn.Close()
+	stream, err := wire.NewConfigurationClient(conn).Follow(ctx)
 	if err != nil {
 		return false, err
 	}
-	// messages leave by a goroutine of their own: the service may read slowly
-	out := make(chan *wire.FollowRequest, 64)
-	sent := make(chan struct{})
+	// a goroutine of its own sends the messages, since the service may read slowly
+	requests := make(chan *wire.FollowRequest, 64)
+	senderDone := make(chan struct{})
 	go func() {
-		defer close(sent)
+		defer close(senderDone)
 		for {
 			select {
-			case r := <-out:
-				if st.Send(r) != nil {
-					end()
+			case r := <-requests:
+				if stream.Send(r) != nil {
+					cancel()
 					return
 				}
 			case <-ctx.Done():
@@ -238,161 +246,164 @@
 			}
 		}
 	}()
-	up := make(chan struct{})
-	s.post(func() {
-		s.send = func(r *wire.FollowRequest) {
+	connected := make(chan struct{})
+	c.enqueue(func() {
+		c.sendRequest = func(r *wire.FollowRequest) {
 			select {
-			case out <- r:
+			case requests <- r:
 			case <-ctx.Done():
-			default: // it reads nothing: the stream is given up, the next one tells all anew
-				end()
+			default: // the service does not read: give up the stream; the next one starts with the full state
+				cancel()
 			}
 		}
-		s.f.HandleConnect()
-		close(up)
+		c.follower.HandleConnect()
+		close(connected)
 	})
 	defer func() {
-		end()
-		<-sent
-		s.post(func() {
-			s.send = nil
-			s.f.HandleDisconnect()
+		cancel()
+		<-senderDone
+		c.enqueue(func() {
+			c.sendRequest = nil
+			c.follower.HandleDisconnect()
 		})
 	}()
 	select {
-	case <-up:
-	case <-s.quit:
+	case <-connected:
+	case <-c.stopped:
 		return false, nil
 	}
-	header, err := st.Header()
+	header, err := stream.Header()
 	if err != nil {
 		return false, err
 	}
-	if stood = header != nil; stood {
-		s.o.Log.Info().Str("socket", socket).Msg("follows the control service")
-		s.post(func() { s.heard = time.Now() })
+	if accepted = header != nil; accepted {
+		c.options.Log.Info().Str("socket", socket).Msg("connected to the control service")
+		c.enqueue(func() { c.lastHeard = time.Now() })
 	}
 	for {
-		r, err := st.Recv()
+		r, err := stream.Recv()
 		if err != nil {
-			return stood, err
+			return accepted, err
 		}
-		s.post(func() { s.offered(r) })
+		c.enqueue(func() { c.handleResponse(r) })
 	}
 }
 
-// offered puts a response together and hands it to the module.
-func (s *Client) offered(r *wire.FollowResponse) {
-	s.heard = time.Now()
-	o := configupdate.Offer{VersionRef: configupdate.VersionRef{Version: configupdate.Version(r.Version), Digest: r.Digest}, Nonce: r.Nonce, Base: configupdate.Version(r.Base)}
-	held, _ := s.f.Current()
+// handleResponse builds the configuration that a response stands for and offers it to the state machine.
+func (c *Client) handleResponse(resp *wire.FollowResponse) {
+	c.lastHeard = time.Now()
+	o := configupdate.Offer{VersionRef: configupdate.VersionRef{Version: configupdate.Version(resp.Version), Digest: resp.Digest},
+		Nonce: resp.Nonce, Base: configupdate.Version(resp.Base)}
+	current, _ := c.follower.Current()
 	var base []settings.Resource
-	if r.Base != 0 && o.Base == held.Version {
-		base = s.parts
+	if resp.Base != 0 && o.Base == current.Version {
+		base = c.resources
 	}
 	var set []settings.Resource
-	for _, p := range r.Resources {
+	for _, p := range resp.Resources {
 		set = append(set, settings.Resource{Type: p.GetId().GetType(), Name: p.GetId().GetName(), Text: p.Text})
 	}
 	var removed []configdiff.ID
-	for _, id := range r.Removed {
+	for _, id := range resp.Removed {
 		removed = append(removed, configdiff.ID{Type: id.Type, Name: id.Name})
 	}
-	parts := configdiff.Patch(base, set, removed)
-	text := settings.ResourcesText(parts)
-	o.DigestOK = configdiff.Digest(text) == r.Digest
-	if was := s.offers[o.Version]; was == nil || was.change == nil { // one that is being applied stays
-		s.offers[o.Version] = &offer{parts: parts, text: text}
+	resources := configdiff.Patch(base, set, removed)
+	text := settings.ResourcesText(resources)
+	o.DigestOK = configdiff.Digest(text) == resp.Digest
+	if previous := c.offers[o.Version]; previous == nil || previous.change == nil { // a version that is being applied is not replaced
+		c.offers[o.Version] = &offer{resources: resources, text: text}
 	}
-	s.f.HandleOffer(o)
+	c.follower.HandleOffer(o)
 }
 
-// port is what the module acts through.
-type port Client
+// actions implements configupdate.Actions for a Client.
+type actions Client
 
-// Check implements adopt.Port.
-func (p *port) Check(v configupdate.Version) {
-	s, o := (*Client)(p), p.offers[v]
+// Check implements configupdate.Actions.
+func (a *actions) Check(v configupdate.Version) {
+	c, o := (*Client)(a), a.offers[v]
 	go func() {
-		change, err := s.o.Check(uint64(v), o.text)
-		s.post(func() {
+		change, err := c.options.Check(uint64(v), o.text)
+		c.enqueue(func() {
 			if o.change = change; err != nil {
-				s.f.HandleCheckResult(v, err.Error())
+				c.follower.HandleCheckResult(v, err.Error())
 				return
 			}
-			s.f.HandleCheckResult(v, "")
+			c.follower.HandleCheckResult(v, "")
 		})
 	}()
 }
 
-// Apply implements adopt.Port.
-func (p *port) Apply(v configupdate.Version) {
-	s, o := (*Client)(p), p.offers[v]
+// Apply implements configupdate.Actions.
+func (a *actions) Apply(v configupdate.Version) {
+	c, o := (*Client)(a), a.offers[v]
 	go func() {
 		err := o.change.Apply()
-		s.post(func() {
+		c.enqueue(func() {
 			o.change = nil
 			if err != nil {
-				s.f.HandleApplyResult(v, err.Error())
+				c.follower.HandleApplyResult(v, err.Error())
 				return
 			}
-			s.from = "service"
-			s.f.HandleApplyResult(v, "")
+			c.source = "service"
+			c.follower.HandleApplyResult(v, "")
 		})
 	}()
 }
 
-// Save implements adopt.Port.
-func (p *port) Save(v configupdate.Version) {
-	s, o := (*Client)(p), p.offers[v]
-	s.parts = o.parts
-	for other := range s.offers {
+// Save implements configupdate.Actions.
+func (a *actions) Save(v configupdate.Version) {
+	c, o := (*Client)(a), a.offers[v]
+	c.resources = o.resources
+	for other := range c.offers {
 		if other <= v {
-			delete(s.offers, other)
+			delete(c.offers, other)
 		}
 	}
 	go func() {
-		err := s.o.Store.Save(lastgood.Saved{Version: uint64(v), SavedAt: time.Now(), Text: o.text})
-		s.post(func() {
+		err := c.options.Store.Save(lastgood.Saved{Version: uint64(v), SavedAt: time.Now(), Text: o.text})
+		c.enqueue(func() {
 			if err != nil {
-				s.f.HandleSaveResult(v, err.Error())
+				c.follower.HandleSaveResult(v, err.Error())
 				return
 			}
-			s.f.HandleSaveResult(v, "")
+			c.follower.HandleSaveResult(v, "")
 		})
 	}()
 }
 
-func (p *port) answer(nonce string, more func(*wire.FollowRequest)) {
-	s := (*Client)(p)
-	held, kept := s.f.Current()
-	r := &wire.FollowRequest{Version: uint64(held.Version), Digest: held.Digest, Kept: kept, Nonce: nonce}
-	if more != nil {
-		more(r)
+// respond sends the answer to the response with the given nonce; extend may add to it.
+func (a *actions) respond(nonce string, extend func(*wire.FollowRequest)) {
+	c := (*Client)(a)
+	current, saved := c.follower.Current()
+	r := &wire.FollowRequest{Version: uint64(current.Version), Digest: current.Digest, Kept: saved, Nonce: nonce}
+	if extend != nil {
+		extend(r)
 	}
-	s.say(r)
+	c.report(r)
 }
 
-// Accept implements adopt.Port.
-func (p *port) Accept(nonce string, _ bool) { p.answer(nonce, nil) }
+// Accept implements configupdate.Actions.
+func (a *actions) Accept(nonce string, _ bool) { a.respond(nonce, nil) }
 
-// Refuse implements adopt.Port.
-func (p *port) Refuse(nonce string, v configupdate.Version, why string) {
-	p.answer(nonce, func(r *wire.FollowRequest) {
+// Refuse implements configupdate.Actions.
+func (a *actions) Refuse(nonce string, v configupdate.Version, reason string) {
+	a.respond(nonce, func(r *wire.FollowRequest) {
 		r.Refused = uint64(v)
-		r.ErrorDetail = &rpcstatus.Status{Code: int32(codes.InvalidArgument), Message: why}
+		r.ErrorDetail = &rpcstatus.Status{Code: int32(codes.InvalidArgument), Message: reason}
 	})
 }
 
-// RequestFull implements adopt.Port.
-func (p *port) RequestFull(nonce string) {
-	p.answer(nonce, func(r *wire.FollowRequest) { r.Whole = true })
+// RequestFull implements configupdate.Actions.
+func (a *actions) RequestFull(nonce string) {
+	a.respond(nonce, func(r *wire.FollowRequest) { r.Whole = true })
 }
 
-// Log implements adopt.Port.
-func (p *port) Log(text string) { p.o.Log.Info().Str("from", "configuration").Msg(text) }
+// Log implements configupdate.Actions.
+func (a *actions) Log(text string) { a.options.Log.Info().Str("from", "configuration").Msg(text) }
 
-// SendStatus implements adopt.Port.
-func (p *port) SendStatus(held configupdate.VersionRef, refused configupdate.Version, kept, _ bool) {
-	(*Client)(p).say(&wire.FollowRequest{Version: uint64(held.Version), Digest: held.Digest, Kept: kept, Refused: uint64(refused)})
+// SendStatus implements configupdate.Actions.
+func (a *actions) SendStatus(current configupdate.VersionRef, refused configupdate.Version, saved, _ bool) {
+	(*Client)(a).report(&wire.FollowRequest{Version: uint64(current.Version), Digest: current.Digest, Kept: saved,
+		Refused: uint64(refused)})
 }
