--- a/internal/lastgood/lastgood.go
+++ b/internal/lastgood/lastgood.go
@@ -1,9 +1,10 @@
-// Package lastgood keeps the last good version of a configuration on disk, and the one before it, such that a crash at
-// any moment leaves at least what Save last promised. A file is one line of header and the text:
+// Package lastgood saves the last good version of a configuration on disk, and the one before it. After a crash at any
+// moment, Load finds a version that is at least as new as the last one whose Save succeeded. A file has one header line,
+// followed by the text:
 //
-//	mallowlanding-configuration VERSION SAVED_UNIX_MS SEAL
+//	mallowlanding-configuration VERSION SAVED_UNIX_MS CHECKSUM
 //
-// The seal is the SHA-256 of the rest of the header and the text.
+// The checksum is the SHA-256 of the rest of the header, a line feed and the text.
 package lastgood
 
 import (
@@ -21,13 +22,13 @@
 
 const magic = "mallowlanding-configuration"
 
-// File is one that is being written.
+// File is a file that is being written.
 type File interface {
 	io.WriteCloser
 	Sync() error
 }
 
-// FS is the part of a file system that is used; tests bring one that crashes.
+// FS has the file system operations that a Store needs. Tests inject one that crashes.
 type FS interface {
 	Create(name string) (File, error)
 	ReadFile(name string) ([]byte, error)
@@ -35,7 +36,7 @@
 	SyncDir(dir string) error
 }
 
-// Disk is the machine's own.
+// Disk is the file system of the machine.
 type Disk struct{}
 
 // Create implements FS.
@@ -59,27 +60,28 @@
 	return d.Sync()
 }
 
-// Saved is a version as it was kept.
+// Saved is a saved version.
 type Saved struct {
 	Version uint64
 	SavedAt time.Time
 	Text    string
 }
 
-// Store is one front end's file, and beside it PATH.before and, while one is written, PATH.new.
+// Store is the file of one front end. PATH.before next to it has the version before, and PATH.new exists while a version
+// is being written.
 type Store struct {
 	FS   FS
 	Path string
 }
 
-// Save keeps a version. Once it has returned nil, Load gives this version or a later one, whatever happens to the process
-// or the machine, as far as fsync keeps its word. After an error Load gives this one or what it gave before.
-func (s *Store) Save(k Saved) error {
+// Save saves a version. Once it has returned nil, Load returns this version or a later one, whatever happens to the
+// process or the machine, as far as fsync can be trusted. After an error, Load returns this version or the previous one.
+func (s *Store) Save(saved Saved) error {
 	f, err := s.FS.Create(s.Path + ".new")
 	if err != nil {
 		return err
 	}
-	_, err = f.Write(seal(k))
+	_, err = f.Write(encode(saved))
 	if err == nil {
 		err = f.Sync()
 	}
@@ -87,11 +89,12 @@
 	if err != nil {
 		return err
 	}
-	// the new name is on disk before it is renamed: else a stale file of that name could take the place
+	// The new directory entry must be on disk before the rename. Otherwise, after a crash, a stale file of that name could
+	// take the place of the saved one.
 	if err := s.FS.SyncDir(filepath.Dir(s.Path)); err != nil {
 		return err
 	}
-	// each of the two renames alone leaves one of both files with what was promised last
+	// After either rename alone, one of the two files has the last version whose Save succeeded.
 	if err := s.FS.Rename(s.Path, s.Path+".before"); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
@@ -101,46 +104,49 @@
 	return s.FS.SyncDir(filepath.Dir(s.Path))
 }
 
-// Load gives the last good version: of the file, or where that is missing or spoilt, of the one before. Problems are
-// what was found on the way, one line each. Ok is false where nothing good is there.
-func (s *Store) Load() (k Saved, problems []error, ok bool) {
+// Load returns the last good version: from the file or, if that is missing or damaged, from the one before it. Problems
+// has one error for each damaged file. Ok is false if there is no good file.
+func (s *Store) Load() (saved Saved, problems []error, ok bool) {
 	for _, name := range []string{s.Path, s.Path + ".before"} {
-		raw, err := s.FS.ReadFile(name)
+		data, err := s.FS.ReadFile(name)
 		if errors.Is(err, fs.ErrNotExist) {
 			continue
 		}
 		if err == nil {
-			k, err = open(raw)
+			saved, err = decode(data)
 		}
 		if err == nil {
-			return k, problems, true
+			return saved, problems, true
 		}
 		problems = append(problems, fmt.Errorf("%s: %w", name, err))
 	}
 	return Saved{}, problems, false
 }
 
-func seal(k Saved) []byte {
-	head := fmt.Sprintf("%s %d %d", magic, k.Version, k.SavedAt.UnixMilli())
-	sum := sha256.Sum256([]byte(head + "\n" + k.Text))
-	return fmt.Appendf(nil, "%s %x\n%s", head, sum, k.Text)
+// encode returns the content of the file for a version.
+func encode(saved Saved) []byte {
+	header := fmt.Sprintf("%s %d %d", magic, saved.Version, saved.SavedAt.UnixMilli())
+	sum := sha256.Sum256([]byte(header + "\n" + saved.Text))
+	return fmt.Appendf(nil, "%s %x\n%s", header, sum, saved.Text)
 }
 
-func open(raw []byte) (Saved, error) {
-	line, text, whole := bytes.Cut(raw, []byte("\n"))
-	head, sum, sealed := cutLast(string(line))
-	var k Saved
+// decode parses the content of a file and verifies its checksum.
+func decode(data []byte) (Saved, error) {
+	line, text, complete := bytes.Cut(data, []byte("\n"))
+	header, sum, hasSum := cutLast(string(line))
+	var saved Saved
 	var ms int64
-	if n, err := fmt.Sscanf(head, magic+" %d %d", &k.Version, &ms); !whole || !sealed || err != nil || n != 2 {
-		return Saved{}, fmt.Errorf("not a kept configuration, or cut off in its first line: %.40q", line)
+	if n, err := fmt.Sscanf(header, magic+" %d %d", &saved.Version, &ms); !complete || !hasSum || err != nil || n != 2 {
+		return Saved{}, fmt.Errorf("not a saved configuration, or truncated in its first line: %.40q", line)
 	}
-	if want := sha256.Sum256([]byte(head + "\n" + string(text))); fmt.Sprintf("%x", want) != sum {
-		return Saved{}, fmt.Errorf("version %d: the seal does not fit: cut off or changed", k.Version)
+	if want := sha256.Sum256([]byte(header + "\n" + string(text))); fmt.Sprintf("%x", want) != sum {
+		return Saved{}, fmt.Errorf("version %d: checksum mismatch: the file is truncated or was changed", saved.Version)
 	}
-	k.SavedAt, k.Text = time.UnixMilli(ms), string(text)
-	return k, nil
+	saved.SavedAt, saved.Text = time.UnixMilli(ms), string(text)
+	return saved, nil
 }
 
+// cutLast cuts s around its last space.
 func cutLast(s string) (before, after string, found bool) {
 	i := strings.LastIndexByte(s, ' ')
 	if i < 0 {
--- a/internal/lastgood/lastgood_test.go
+++ b/internal/lastgood/lastgood_test.go
@@ -11,68 +11,69 @@
 	"time"
 )
 
-// errCrash is what everything gives once the machine is down.
-var errCrash = errors.New("the machine is down")
+// errCrash is returned by all operations after the simulated machine has crashed.
+var errCrash = errors.New("simulated machine crash")
 
-// errFull is a full disk's.
+// errFull is returned by writes to a full disk.
 var errFull = errors.New("no space left on device")
 
-// inode is a file's bytes: what is on disk for sure, and what was written since.
+// inode has a file's content: what is on disk for certain, and what has been written.
 type inode struct{ synced, written []byte }
 
-// flaky is a file system that goes down after so many operations. What was not synced is there in any part: of a file's
-// bytes a prefix, with the last ones wrong; of renames and creations, any of them, in their order.
-type flaky struct {
-	rng     *rand.Rand
-	left    int // operations until it is down; below 0: never
-	room    int // bytes until the disk is full; below 0: never
-	names   map[string]*inode
-	durable map[string]*inode
-	pending []func(map[string]*inode)
+// crashingFS is a file system that crashes after a number of operations. After a crash, any part of what was not synced
+// may be on disk: of a file's content a prefix, possibly with a flipped bit, and of renames and creations any subset, in
+// their order.
+type crashingFS struct {
+	rng       *rand.Rand
+	opsLeft   int // operations until the crash; negative: never
+	bytesLeft int // bytes until the disk is full; negative: never
+	names     map[string]*inode
+	durable   map[string]*inode
+	pending   []func(map[string]*inode)
 }
 
-func (f *flaky) tick() error {
-	if f.left == 0 {
+func (f *crashingFS) countOp() error {
+	if f.opsLeft == 0 {
 		return errCrash
 	}
-	f.left--
+	f.opsLeft--
 	return nil
 }
 
-type handle struct {
-	f *flaky
+type openFile struct {
+	f *crashingFS
 	i *inode
 }
 
-func (f *flaky) Create(name string) (File, error) {
-	if err := f.tick(); err != nil {
+func (f *crashingFS) Create(name string) (File, error) {
+	if err := f.countOp(); err != nil {
 		return nil, err
 	}
 	i := &inode{}
-	f.dir(func(names map[string]*inode) { names[name] = i })
-	return &handle{f, i}, nil
+	f.updateDir(func(names map[string]*inode) { names[name] = i })
+	return &openFile{f, i}, nil
 }
 
-func (f *flaky) dir(do func(map[string]*inode)) {
-	do(f.names)
-	f.pending = append(f.pending, do)
+func (f *crashingFS) updateDir(update func(map[string]*inode)) {
+	update(f.names)
+	f.pending = append(f.pending, update)
 }
 
-func (f *flaky) ReadFile(name string) ([]byte, error) {
+func (f *crashingFS) ReadFile(name string) ([]byte, error) {
 	if i := f.names[name]; i != nil {
 		return i.written, nil
 	}
 	return nil, fs.ErrNotExist
 }
 
-func (f *flaky) Rename(from, to string) error {
-	if err := f.tick(); err != nil {
+func (f *crashingFS) Rename(from, to string) error {
+	if err := f.countOp(); err != nil {
 		return err
 	}
 	if f.names[from] == nil {
 		return fs.ErrNotExist
 	}
-	f.dir(func(names map[string]*inode) {
+	f.updateDir(func(names map[string]*inode) {
 		if i := names[from]; i != nil {
 			names[to] = i
 			delete(names, from)
@@ -81,8 +82,8 @@
 	return nil
 }
 
-func (f *flaky) SyncDir(string) error {
-	if err := f.tick(); err != nil {
+func (f *crashingFS) SyncDir(string) error {
+	if err := f.countOp(); err != nil {
 		return err
 	}
 	for _, do := range f.pending {
@@ -92,34 +93,34 @@
 	return nil
 }
 
-func (h *handle) Write(b []byte) (int, error) {
-	for n := 0; n < len(b); n += 64 { // down at any piece
-		if err := h.f.tick(); err != nil {
+func (h *openFile) Write(b []byte) (int, error) {
+	for n := 0; n < len(b); n += 64 { // may crash at each chunk
+		if err := h.f.countOp(); err != nil {
 			return n, err
 		}
 		part := b[n:min(n+64, len(b))]
-		if h.f.room >= 0 && h.f.room < len(part) {
-			h.i.written = append(h.i.written, part[:h.f.room]...)
-			return n + h.f.room, errFull
+		if h.f.bytesLeft >= 0 && h.f.bytesLeft < len(part) {
+			h.i.written = append(h.i.written, part[:h.f.bytesLeft]...)
+			return n + h.f.bytesLeft, errFull
 		}
-		h.f.room -= len(part)
+		h.f.bytesLeft -= len(part)
 		h.i.written = append(h.i.written, part...)
 	}
 	return len(b), nil
 }
 
-func (h *handle) Sync() error {
-	if err := h.f.tick(); err != nil {
+func (h *openFile) Sync() error {
+	if err := h.f.countOp(); err != nil {
 		return err
 	}
 	h.i.synced = append([]byte(nil), h.i.written...)
 	return nil
 }
 
-func (h *handle) Close() error { return nil }
+func (h *openFile) Close() error { return nil }
 
-// crash leaves what a machine finds when it is up again.
-func (f *flaky) crash() {
+// crash replaces the content of the file system by what the machine finds after a restart.
+func (f *crashingFS) crash() {
 	for _, do := range f.pending {
 		if f.rng.Intn(2) == 0 {
 			do(f.durable)
@@ -127,66 +128,67 @@
 	}
 	f.names = map[string]*inode{}
 	for name, i := range f.durable {
-		have := append([]byte(nil), i.synced...)
-		if more := len(i.written) - len(i.synced); more > 0 {
-			have = append(have, i.written[len(i.synced):len(i.synced)+f.rng.Intn(more+1)]...)
-			if n := len(have) - len(i.synced); n > 0 && f.rng.Intn(2) == 0 {
-				have[len(i.synced)+f.rng.Intn(n)] ^= 1 << f.rng.Intn(8)
+		content := append([]byte(nil), i.synced...)
+		if unsynced := len(i.written) - len(i.synced); unsynced > 0 {
+			content = append(content, i.written[len(i.synced):len(i.synced)+f.rng.Intn(unsynced+1)]...)
+			if n := len(content) - len(i.synced); n > 0 && f.rng.Intn(2) == 0 {
+				content[len(i.synced)+f.rng.Intn(n)] ^= 1 << f.rng.Intn(8)
 			}
 		}
-		f.names[name] = &inode{have, have}
+		f.names[name] = &inode{content, content}
 	}
 	f.durable = map[string]*inode{}
 	for name, i := range f.names {
 		f.durable[name] = i
 	}
-	f.pending, f.left = nil, -1
+	f.pending, f.opsLeft = nil, -1
 }
 
-// Ten thousand crashes at random points, of one file that lives through them all: what Save promised is there after each.
+// A store lives through ten thousand crashes at random points. After each of them, Load must return the last version
+// whose Save succeeded, or a later one.
 func TestCrashPoints(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
-	f := &flaky{rng: rng, room: -1, names: map[string]*inode{}, durable: map[string]*inode{}}
+	f := &crashingFS{rng: rng, bytesLeft: -1, names: map[string]*inode{}, durable: map[string]*inode{}}
 	s := &Store{FS: f, Path: "/var/last"}
-	promised, next, found, failed := uint64(0), uint64(1), 0, 0
+	saved, next, found, failed := uint64(0), uint64(1), 0, 0
 	text := func(v uint64) string {
 		return strings.Repeat(fmt.Sprintf("<version n=%q/>\n", fmt.Sprint(v)), int(v%40))
 	}
 	for crash := range 10000 {
-		f.left = rng.Intn(60)
+		f.opsLeft = rng.Intn(60)
 		for {
 			if err := s.Save(Saved{next, time.UnixMilli(int64(next)), text(next)}); err != nil {
 				failed++
 				next++
 				break
 			}
-			promised = next
+			saved = next
 			next++
 		}
 		f.crash()
 		k, _, ok := s.Load()
-		if promised > 0 && !ok {
-			t.Fatalf("crash %d: nothing there, %d was promised", crash, promised)
+		if saved > 0 && !ok {
+			t.Fatalf("crash %d: nothing found, but version %d was saved", crash, saved)
 		}
 		if ok {
 			found++
-			if k.Version < promised || k.Version >= next || k.Text != text(k.Version) || k.SavedAt.UnixMilli() != int64(k.Version) {
-				t.Fatalf("crash %d: found %d, promised %d, written up to %d", crash, k.Version, promised, next-1)
+			if k.Version < saved || k.Version >= next || k.Text != text(k.Version) || k.SavedAt.UnixMilli() != int64(k.Version) {
+				t.Fatalf("crash %d: found version %d, but %d was saved and %d was written last", crash, k.Version, saved, next-1)
 			}
-			promised = k.Version // what was found once is not lost later
+			saved = k.Version // a version that was found once must not be lost later
 		}
 	}
 	if found < 9900 || failed != 10000 {
-		t.Errorf("%d found, %d failed: the test tries nothing", found, failed)
+		t.Errorf("%d found, %d failed: too few crashes during Save to test anything", found, failed)
 	}
 }
 
-// Any byte changed or cut off is found, and the one before is used.
-func TestSpoilt(t *testing.T) {
+// Any flipped bit and any truncation is detected, and the version before is used.
+func TestDamagedFile(t *testing.T) {
 	dir := t.TempDir()
 	s := &Store{FS: Disk{}, Path: filepath.Join(dir, "last")}
 	if _, problems, ok := s.Load(); ok || problems != nil {
-		t.Fatalf("an empty folder: %v", problems)
+		t.Fatalf("unexpected result in an empty directory: %v", problems)
 	}
 	for v := range uint64(2) {
 		if err := s.Save(Saved{v + 1, time.UnixMilli(5), "<configuration/>"}); err != nil {
@@ -223,14 +225,14 @@
 	}
 }
 
-// A full disk fails Save, and leaves what was kept.
+// On a full disk, Save fails and leaves the version that was saved before.
 func TestFullDisk(t *testing.T) {
-	f := &flaky{rng: rand.New(rand.NewSource(1)), left: -1, room: 400, names: map[string]*inode{}, durable: map[string]*inode{}}
+	f := &crashingFS{rng: rand.New(rand.NewSource(1)), opsLeft: -1, bytesLeft: 400, names: map[string]*inode{}, durable: map[string]*inode{}}
 	s := &Store{FS: f, Path: "/var/last"}
 	v := uint64(1)
 	for ; s.Save(Saved{v, time.UnixMilli(1), "text"}) == nil; v++ {
 	}
 	if k, _, ok := s.Load(); v < 2 || !ok || k.Version != v-1 {
-		t.Errorf("%v, %v after version %d failed", k, ok, v)
+		t.Errorf("got %v, %v after Save of version %d failed", k, ok, v)
 	}
 }
