--- a/internal/certs/certstest/keystest.go
+++ b/internal/certs/certstest/keystest.go
@@ -22,21 +22,21 @@
 	Key  *ecdsa.PrivateKey
 }
 
-// New makes a pair signed by another, or by itself: an authority.
-func New(t *testing.T, name string, by *Pair, from, to time.Time) *Pair {
+// New returns a certificate signed by issuer. If issuer is nil, it is a self-signed authority.
+func New(t *testing.T, name string, issuer *Pair, from, to time.Time) *Pair {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		t.Fatal(err)
 	}
 	template := &x509.Certificate{SerialNumber: big.NewInt(time.Now().UnixNano()), Subject: pkix.Name{CommonName: name},
-		NotBefore: from, NotAfter: to, DNSNames: []string{name}, IsCA: by == nil, BasicConstraintsValid: true,
+		NotBefore: from, NotAfter: to, DNSNames: []string{name}, IsCA: issuer == nil, BasicConstraintsValid: true,
 		KeyUsage: x509.KeyUsageDigitalSignature | x509.KeyUsageCertSign}
 	p := &Pair{Cert: template, Key: key}
-	if by == nil {
-		by = p
+	if issuer == nil {
+		issuer = p
 	}
-	if p.DER, err = x509.CreateCertificate(rand.Reader, template, by.Cert, &key.PublicKey, by.Key); err != nil {
+	if p.DER, err = x509.CreateCertificate(rand.Reader, template, issuer.Cert, &key.PublicKey, issuer.Key); err != nil {
 		t.Fatal(err)
 	}
 	if p.Cert, err = x509.ParseCertificate(p.DER); err != nil {
@@ -45,7 +45,8 @@
 	return p
 }
 
-// Write writes the chain, and the key where it is named, as PEM.
+// Write writes the certificate and the rest of its chain to the file cert and, unless key is empty, the key to the file
+// key, as PEM.
 func (p *Pair) Write(t *testing.T, cert, key string, chain ...*Pair) {
 	t.Helper()
 	var b bytes.Buffer
--- a/internal/certs/keys_test.go
+++ b/internal/certs/keys_test.go
@@ -49,8 +49,9 @@
 	}
 }
 
-// New keys are taken without a restart, and the connection made before goes on; bad ones leave the last good in use;
-// an expiry is told ahead, once a day; only clients of the authority come in, by their names.
+// TestRotation replaces the files of a running server. New certificates must be used without a restart and without
+// breaking established connections, invalid ones must leave the last good ones in use, and a certificate that expires
+// soon must be logged once a day. Only clients with a certificate of the right authority may connect.
 func TestRotation(t *testing.T) {
 	dir, now := t.TempDir(), time.Now()
 	at := func(name string) string { return filepath.Join(dir, name) }
@@ -100,15 +101,15 @@
 	defer before.Close()
 	if nc, err := dial("first", nil); err == nil {
 		nc.Close()
-		t.Error("a client without a certificate came in")
+		t.Error("a client without a certificate was accepted")
 	}
 	if nc, err := dial("first", certstest.New(t, "booking-app", nil, now.Add(-day), now.Add(day))); err == nil {
 		nc.Close()
-		t.Error("a client of another authority came in")
+		t.Error("a client of another authority was accepted")
 	}
 	certstest.New(t, "second", ca, now.Add(-day), now.Add(20*day)).Write(t, f.Cert, f.Key)
 	if !s.ReloadIfChanged(now.Add(time.Second), day) {
-		t.Fatal("new keys are not taken")
+		t.Fatal("new certificates are not in use")
 	}
 	after, err := dial("second", client)
 	if err != nil {
@@ -116,16 +117,16 @@
 	}
 	after.Close()
 	if err := echo(before); err != nil {
-		t.Errorf("the connection made before: %v", err)
+		t.Errorf("connection from before the reload: %v", err)
 	}
 	if err := os.WriteFile(f.Key, []byte("broken"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if s.ReloadIfChanged(now.Add(2*time.Second), day) || !strings.Contains(log.String(), "the last good ones stand") {
-		t.Errorf("bad keys: %s", log.String())
+	if s.ReloadIfChanged(now.Add(2*time.Second), day) || !strings.Contains(log.String(), "the last good ones stay in use") {
+		t.Errorf("log after an invalid key: %s", log.String())
 	}
 	if again, err := dial("second", client); err != nil {
-		t.Errorf("after bad keys: %v", err)
+		t.Errorf("connection after an invalid key: %v", err)
 	} else {
 		again.Close()
 	}
@@ -134,14 +135,14 @@
 		s.ReloadIfChanged(now.Add(7*day+time.Duration(hour)*time.Hour), 14*day)
 	}
 	if n := strings.Count(log.String(), "expires soon"); n != 2 {
-		t.Errorf("told %d times in two days: %s", n, log.String())
+		t.Errorf("got %d expiry warnings in two days, want 2: %s", n, log.String())
 	}
 	state := &tls.ConnectionState{PeerCertificates: []*x509.Certificate{client.Cert}}
 	if c, err := FindClient([]Client{{Name: "x"}, {Name: "booking-app", Customer: "east"}}, state); err != nil || c.Customer != "east" {
-		t.Errorf("%v, %v", c, err)
+		t.Errorf("known client: got %v, %v", c, err)
 	}
 	if _, err := FindClient([]Client{{Name: "x"}}, state); !errors.Is(err, ErrUnknownClient) {
-		t.Errorf("unknown: %v", err)
+		t.Errorf("unknown client: got error %v", err)
 	}
 }
 
