--- a/cmd/mallowlanding/emulate.go
+++ b/cmd/mallowlanding/emulate.go
@@ -163,7 +163,7 @@
 		return err
 	}
 	f.Scenario.Name = fmt.Sprintf("%s-hunted-%d", s.Name, c.Seed)
-	if err := settings.Write(c.Out, "scenario", f.Scenario); err != nil {
+	if err := settings.WriteFile(c.Out, "scenario", f.Scenario); err != nil {
 		return err
 	}
 	fmt.Fprintf(e.out, "%s: module %.3f, oracle %.3f, %d rule breaks, after %d days\n", c.Out, f.Kept, f.Oracle, f.Breaks, f.Tried)
--- a/cmd/mallowlanding/main.go
+++ b/cmd/mallowlanding/main.go
@@ -176,7 +176,7 @@
 func (c *checkCmd) Run(e *env) error {
 	var failed error
 	for _, file := range c.Settings {
-		kind, err := settings.Check(file)
+		kind, err := settings.CheckFile(file)
 		if err != nil {
 			failed = errors.Join(failed, err)
 			continue
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -215,13 +215,13 @@
 // ServeOver is like Serve, with dial as the network between the instances.
 func ServeOver(ctx context.Context, config *settings.Control, log zerolog.Logger, ready func(), dial Network) (err error) {
 	log = log.With().Str("control", config.Name).Logger()
-	shares, err := config.Roll.Shares()
+	shares, err := config.Rollout.Shares()
 	if err != nil {
 		return err
 	}
-	rolloutSettings := rollout.Settings{Stages: shares, Hold: rollout.Millis(config.Roll.Hold / 10),
-		AnswerTimeout: rollout.Millis(config.Roll.AnswerTimeout / 10), LiveTimeout: rollout.Millis(config.Roll.LiveTimeout / 10),
-		MaxRefusedShare: config.Roll.MaxRefusedShare, MaxOKDrop: config.Roll.MaxOKDrop, MinRPCs: uint64(config.Roll.MinRPCs)}
+	rolloutSettings := rollout.Settings{Stages: shares, Hold: rollout.Millis(config.Rollout.Hold / 10),
+		AnswerTimeout: rollout.Millis(config.Rollout.AnswerTimeout / 10), LiveTimeout: rollout.Millis(config.Rollout.LiveTimeout / 10),
+		MaxRefusedShare: config.Rollout.MaxRefusedShare, MaxOKDrop: config.Rollout.MaxOKDrop, MinRPCs: uint64(config.Rollout.MinRPCs)}
 	if err := os.MkdirAll(config.Dir, 0o700); err != nil {
 		return err
 	}
@@ -236,14 +236,14 @@
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
-	peerListener, err := clients.Listen(config.Peers, 0o600)
+	peerListener, err := clients.Listen(config.PeerSocket, 0o600)
 	if err != nil {
 		return err
 	}
 	transport := raft.NewNetworkTransportWithLogger(streamLayer{peerListener, dial}, 3, time.Second, raftLogger(log))
 	defer transport.Close()
 	raftConfig := raft.DefaultConfig()
-	heartbeat := time.Duration(config.Beat) * 100 * time.Microsecond
+	heartbeat := time.Duration(config.Heartbeat) * 100 * time.Microsecond
 	raftConfig.LocalID, raftConfig.Logger = raft.ServerID(config.Name), raftLogger(log)
 	raftConfig.HeartbeatTimeout, raftConfig.ElectionTimeout, raftConfig.LeaderLeaseTimeout = heartbeat, heartbeat, heartbeat/2
 	raftConfig.CommitTimeout = heartbeat / 10
@@ -254,9 +254,9 @@
 		return fmt.Errorf("store: %w", err)
 	}
 	defer func() { err = errors.Join(err, node.Shutdown().Error()) }()
-	cluster := raft.Configuration{Servers: []raft.Server{{ID: raftConfig.LocalID, Address: raft.ServerAddress(config.Peers)}}}
+	cluster := raft.Configuration{Servers: []raft.Server{{ID: raftConfig.LocalID, Address: raft.ServerAddress(config.PeerSocket)}}}
 	for _, other := range config.Others {
-		cluster.Servers = append(cluster.Servers, raft.Server{ID: raft.ServerID(other.Name), Address: raft.ServerAddress(other.Socket)})
+		cluster.Servers = append(cluster.Servers, raft.Server{ID: raft.ServerID(other.Name), Address: raft.ServerAddress(other.PeerSocket)})
 	}
 	if err := node.BootstrapCluster(cluster).Error(); err != nil && !errors.Is(err, raft.ErrCantBootstrap) {
 		return err
--- a/internal/emulate/client.go
+++ b/internal/emulate/client.go
@@ -53,7 +53,7 @@
 			return -1
 		}
 		return eventloop.ToDuration(w.now - w.fronts[i].diedAt)
-	}, eventloop.ToDuration(w.s.Clients.Notice))]
+	}, eventloop.ToDuration(w.s.Callers.Notice))]
 	t := &attempt{c: c, f: f, life: f.life, mark: fmt.Sprintf("%d/%d", c.a.N, c.tries), ms: math.Floor(float64(span)/1e5) / 10}
 	c.tries++
 	patience, closes, impatient := c.Impatient()
--- a/internal/emulate/front.go
+++ b/internal/emulate/front.go
@@ -52,19 +52,19 @@
 	w := f.w
 	f.alive, f.closed, f.diedAt, f.stalled, f.inbox = true, false, 0, false, nil
 	f.links, f.open, f.pool, f.methods = map[string]*link{}, map[*attempt]bool{}, nil, map[string]int{}
-	set := &settings.FrontEnd{Number: f.i, Of: w.s.Fleet.FrontEnds, Zone: w.s.ZoneOf(f.i), Service: w.s.Service,
+	set := &settings.FrontEnd{Number: f.i, FrontEnds: w.s.Fleet.FrontEnds, Zone: w.s.ZoneOf(f.i), Service: w.s.Service,
 		Clients: settings.DefaultClients()}
 	f.set = set
 	own := &set.Clients
-	own.Open = 100000 // as rehearsals have it
-	f.e = engine.New(engine.Options{Settings: set.RouterSettings(), Seed: w.s.Seed + int64(f.i), Now: f.now(), AnswerMargin: own.Margin,
-		CancelWait: own.CallOff, Log: func(string) {}, NewRouter: w.module})
+	own.ConnOpen = 100000 // as rehearsals have it
+	f.e = engine.New(engine.Options{Settings: set.RouterSettings(), Seed: w.s.Seed + int64(f.i), Now: f.now(), AnswerMargin: own.AnswerMargin,
+		CancelWait: own.CancelWait, Log: func(string) {}, NewRouter: w.module})
 	methods := w.s.Service.EngineMethods()
 	for i, m := range methods {
 		f.methods[m.Name] = i
 	}
-	f.desk = dispatch.New(f.e, dispatch.Options{Methods: methods, Customers: w.s.Service.CustomerNames(), FunctionSpec: w.s.Service.FunctionFor(),
-		AnswerMargin: own.Margin, Limits: f.set.LimitSettings()})
+	f.desk = dispatch.New(f.e, dispatch.Options{Methods: methods, Customers: w.s.Service.CustomerNames(), FunctionSpec: w.s.Service.FunctionSpecs(),
+		AnswerMargin: own.AnswerMargin, Limits: f.set.LimitSettings()})
 	w.keep(record.Record{Kind: record.Restarts, Who: "world", FrontEnd: f.name()})
 	life := f.life
 	w.after(w.delay(), func() {
@@ -83,7 +83,7 @@
 	methods := next.Service.EngineMethods()
 	module := next.RouterSettings()
 	f.e.UpdateSettings(module, router.ParseSettings(module), methods)
-	f.desk.UpdateSettings(dispatch.NewService(methods, next.Service.CustomerNames(), next.Service.FunctionFor()), f.set.LimitSettings())
+	f.desk.UpdateSettings(dispatch.NewService(methods, next.Service.CustomerNames(), next.Service.FunctionSpecs()), f.set.LimitSettings())
 }
 
 // now is its own clock.
@@ -120,7 +120,7 @@
 	if own {
 		return f.desk.OpenConn(admission.PeerID(0))
 	}
-	for len(f.pool) < max(f.w.s.Clients.Connections, 1) {
+	for len(f.pool) < max(f.w.s.Callers.Connections, 1) {
 		f.pool = append(f.pool, f.desk.OpenConn(admission.PeerID(0)))
 	}
 	return f.pool[n%len(f.pool)]
--- a/internal/emulate/trouble.go
+++ b/internal/emulate/trouble.go
@@ -50,7 +50,7 @@
 		}
 	}
 	for _, m := range s.Service.Methods {
-		if m.Batch > 1 {
+		if m.MaxBatch > 1 {
 			return m.Errorf("method %q: the emulator has no batches: rehearse it on sockets", m.Name)
 		}
 	}
--- a/internal/emulate/worker.go
+++ b/internal/emulate/worker.go
@@ -49,7 +49,7 @@
 }
 
 func (x *worker) lookAgain() {
-	x.w.after(min(x.set.Machine.ReportEvery, look), func() {
+	x.w.after(min(x.set.Machine.ReportInterval, look), func() {
 		if x.alive {
 			x.do(x.model.Look)
 			x.w.looks++
--- a/internal/gateway/configured.go
+++ b/internal/gateway/configured.go
@@ -148,7 +148,7 @@
 	}
 	c.listeners[c.path(l)] = nl
 	var serve func() error
-	switch l.Front {
+	switch l.Protocol {
 	case "json-rpc":
 		serve = c.srv.AddListener(c.clients, nl)
 	case "http":
@@ -271,7 +271,7 @@
 func (ch *change) Apply() error {
 	c, next := ch.c, ch.next
 	module, methods, customers := next.RouterSettings(), next.Service.EngineMethods(), next.Service.CustomerNames()
-	function, following := next.Service.FunctionFor(), c.following(next, ch.conf)
+	function, following := next.Service.FunctionSpecs(), c.following(next, ch.conf)
 	var models []kserve.Model
 	if c.ks != nil {
 		models = modelsOf(next)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -137,8 +137,8 @@
 	loop := eventloop.NewLoop()
 	cf := newConfigured(own, loop, log)
 	f := cf.now.Load()
-	e := engine.New(engine.Options{Settings: f.RouterSettings(), Seed: f.Seed, Now: loop.Now(), AnswerMargin: f.Clients.Margin,
-		CancelWait: f.Clients.CallOff,
+	e := engine.New(engine.Options{Settings: f.RouterSettings(), Seed: f.Seed, Now: loop.Now(), AnswerMargin: f.Clients.AnswerMargin,
+		CancelWait: f.Clients.CancelWait,
 		Log:        func(text string) { log.Info().Str("from", "module").Msg(text) }})
 
 	// parts end in turn: first the clients' side, once all is answered, then the rest, last the loop
@@ -150,16 +150,16 @@
 	defer endLoop()
 
 	ls := workerlink.New(rest, loop, e, workerlink.Options{FrontEnd: f.Name,
-		ConnectTimeout: eventloop.ToDuration(f.Service.CallOuts.ConnectTimeOut), ValueBytes: f.Workers.ValueBytes,
+		ConnectTimeout: eventloop.ToDuration(f.Service.CallOuts.ConnectTimeout), ValueBytes: f.Workers.ValueBytes,
 		QueuedBytes: f.Workers.SendBytes, RedialMin: eventloop.ToDuration(f.Workers.RedialMin),
 		RedialMax: eventloop.ToDuration(f.Workers.RedialMax), WrapLink: o.Link, Log: log})
 	fo := rosterwatch.New(loop, e, ls, cf.following(f, cf.booted))
 	desk := dispatch.New(e, dispatch.Options{Methods: f.Service.EngineMethods(), Customers: f.Service.CustomerNames(),
-		FunctionSpec: f.Service.FunctionFor(), AnswerMargin: f.Clients.Margin, Limits: f.LimitSettings(), WrapClient: o.Client})
+		FunctionSpec: f.Service.FunctionSpecs(), AnswerMargin: f.Clients.AnswerMargin, Limits: f.LimitSettings(), WrapClient: o.Client})
 	srv := clients.New(loop, desk, clients.Options{
-		Limits: clients.Limits{Connections: f.Clients.Connections, OpenRPCs: f.Clients.Open,
+		Limits: clients.Limits{Connections: f.Clients.MaxConnections, OpenRPCs: f.Clients.ConnOpen,
 			ValueBytes: f.Clients.ValueBytes, AnswerBytes: f.Clients.AnswerBytes,
-			WriteTimeout: eventloop.ToDuration(f.Clients.WriteTimeOut)},
+			WriteTimeout: eventloop.ToDuration(f.Clients.WriteTimeout)},
 		RewriteAnswer: o.Answer, Allow: allow(f), Status: func() []byte { return status(f, e, desk, cf) }, Log: log})
 
 	var loopGroup, restGroup, frontGroup errgroup.Group
@@ -179,7 +179,7 @@
 		failed <- err
 	}
 	cf.parts(rest, clientSide, &restGroup, &frontGroup, e, desk, fo, srv, ks)
-	log.Info().Str("socket", f.Clients.Socket).Int("number", f.Number).Int("of", f.Of).Msg("front end takes RPCs")
+	log.Info().Str("socket", f.Clients.Socket).Int("number", f.Number).Int("of", f.FrontEnds).Msg("front end takes RPCs")
 	if ready != nil {
 		ready()
 	}
@@ -273,7 +273,7 @@
 			return nil, nil, k.TLS.Errorf("%v", err)
 		}
 		rest.Go(func() error {
-			store.Watch(ctx, eventloop.ToDuration(k.TLS.Reload), time.Duration(k.TLS.WarnDays*24*float64(time.Hour)))
+			store.Watch(ctx, eventloop.ToDuration(k.TLS.ReloadInterval), time.Duration(k.TLS.WarnDays*24*float64(time.Hour)))
 			return nil
 		})
 		o.Keys = store
@@ -324,7 +324,7 @@
 	for i := range f.KServe.Models {
 		m := &f.KServe.Models[i]
 		out = append(out, kserve.Model{Name: m.Name, Version: m.Version, Platform: m.Platform,
-			Method: f.KServe.MethodOf(&f.Service, m), Function: m.FunctionOf(), Inputs: metas(m.Inputs), Outputs: metas(m.Outputs)})
+			Method: f.KServe.MethodIndex(&f.Service, m), Function: m.FunctionName(), Inputs: metas(m.Inputs), Outputs: metas(m.Outputs)})
 	}
 	return out
 }
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -46,7 +46,7 @@
 func status(f *settings.FrontEnd, e *engine.Engine, desk *dispatch.Dispatcher, cf *configured) []byte {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	s := Status{Name: f.Name, Number: f.Number, Of: f.Of, Counts: e.Counts(), Waiting: desk.Waiting(), Leaving: desk.Draining(),
+	s := Status{Name: f.Name, Number: f.Number, Of: f.FrontEnds, Counts: e.Counts(), Waiting: desk.Waiting(), Leaving: desk.Draining(),
 		Process: Process{Allocated: m.TotalAlloc, Allocations: m.Mallocs, Heap: m.HeapAlloc, Collections: m.NumGC}}
 	if cf.steer != nil {
 		s.Config = &Config{Status: cf.steer.Status(), AppliedUs: float64(cf.took.Load()) / 1000}
--- a/internal/rehearse/fleet.go
+++ b/internal/rehearse/fleet.go
@@ -103,7 +103,7 @@
 		roster.Store = &store
 	}
 	f.logs = append(f.logs, roster.Log)
-	if err := settings.Write(f.path("roster.xml"), "roster", roster); err != nil {
+	if err := settings.WriteFile(f.path("roster.xml"), "roster", roster); err != nil {
 		return err
 	}
 	p, err := f.start("roster", "roster", f.path("roster.xml"))
@@ -132,14 +132,14 @@
 		return err
 	}
 	for i := range s.Fleet.FrontEnds {
-		fe := &settings.FrontEnd{Name: frontEnd(i), Number: i, Of: s.Fleet.FrontEnds, Seed: s.Seed + int64(i),
+		fe := &settings.FrontEnd{Name: frontEnd(i), Number: i, FrontEnds: s.Fleet.FrontEnds, Seed: s.Seed + int64(i),
 			Service: s.Service}
 		// what the scenario does not set has the schema's defaults
 		file := f.path("%s.xml", fe.Name)
 		text := fmt.Sprintf(`<front-end name=%q number="%d" of="%d" seed="%d"%s>
   <clients socket=%q open="100000"/>%s
   <roster socket=%q cache=%q/>%s
-`, fe.Name, i, fe.Of, fe.Seed, zoneAttr(s, i), f.socket(i), f.kserve(i), roster.Socket, f.path("%s.list", fe.Name), f.controlAt(fe.Name))
+`, fe.Name, i, fe.FrontEnds, fe.Seed, zoneAttr(s, i), f.socket(i), f.kserve(i), roster.Socket, f.path("%s.list", fe.Name), f.controlAt(fe.Name))
 		service, err := settings.ElementText("service", fe.Service)
 		if err != nil {
 			return err
@@ -156,7 +156,7 @@
 func (f *fleet) kserve(i int) string {
 	models, served := "", map[string]bool{}
 	for _, m := range f.s.Load.Mix {
-		if m.Front == jsonRPC || served[m.Method] {
+		if m.Protocol == jsonRPC || served[m.Method] {
 			continue
 		}
 		served[m.Method] = true
@@ -209,14 +209,14 @@
 	}
 	var group errgroup.Group
 	for i := range c.Instances {
-		doc := &settings.Control{Name: instance(i), Socket: f.path("%s.sock", instance(i)), Peers: f.path("%s.peer", instance(i)),
-			Dir: f.path("%s.store", instance(i)), Beat: c.Beat, Roll: c.Roll}
+		doc := &settings.Control{Name: instance(i), Socket: f.path("%s.sock", instance(i)), PeerSocket: f.path("%s.peer", instance(i)),
+			Dir: f.path("%s.store", instance(i)), Heartbeat: c.Heartbeat, Rollout: c.Rollout}
 		for j := range c.Instances {
 			if j != i {
-				doc.Others = append(doc.Others, settings.Instance{Name: instance(j), Socket: f.path("%s.peer", instance(j))})
+				doc.Others = append(doc.Others, settings.Instance{Name: instance(j), PeerSocket: f.path("%s.peer", instance(j))})
 			}
 		}
-		if err := settings.Write(f.path("%s.xml", instance(i)), "control", doc); err != nil {
+		if err := settings.WriteFile(f.path("%s.xml", instance(i)), "control", doc); err != nil {
 			return err
 		}
 		group.Go(func() error { return f.startInstance(ctx, i) })
@@ -278,7 +278,7 @@
 	}
 	f.mu.Unlock()
 	file := f.path("%s.xml", w.Name)
-	if err := settings.Write(file, "worker", w); err != nil {
+	if err := settings.WriteFile(file, "worker", w); err != nil {
 		return err
 	}
 	p, err := f.start(w.Name, "worker", file, "--drain", eventloop.ToDuration(f.s.Fleet.RosterLag+20000).String())
--- a/internal/rehearse/load.go
+++ b/internal/rehearse/load.go
@@ -70,7 +70,7 @@
 		c.lookups[m.Name] = m
 	}
 	for i := range s.Fleet.FrontEnds {
-		c.pools = append(c.pools, &pool{c: c, i: i, conns: make([]*jsonrpc.Caller, s.Clients.Connections)})
+		c.pools = append(c.pools, &pool{c: c, i: i, conns: make([]*jsonrpc.Caller, s.Callers.Connections)})
 		cc, err := grpc.NewClient("unix:"+f.grpcSocket(i), grpc.WithTransportCredentials(insecure.NewCredentials()),
 			grpc.WithConnectParams(grpc.ConnectParams{Backoff: redial, MinConnectTimeout: time.Second}))
 		if err != nil {
@@ -132,7 +132,7 @@
 			return -1
 		}
 		return time.Since(c.dead[i])
-	}, eventloop.ToDuration(c.s.Clients.Notice))
+	}, eventloop.ToDuration(c.s.Callers.Notice))
 }
 
 // front notes that a front end died or is back.
@@ -205,9 +205,9 @@
 func (c *callers) try(ctx context.Context, front int, mark string, cl *scenario.Client, a scenario.Arrival, span time.Duration,
 	repeat bool) (outcome string, sent bool, comeBack time.Duration) {
 	m, mix, function, token := cl.Method, a.Mix, a.Function, cl.Token
-	if mix.Front != jsonRPC && !a.Once {
+	if mix.Protocol != jsonRPC && !a.Once {
 		keep, ms := c.keeper(front, mark, token, function, m, span)
-		if mix.Front == "grpc" {
+		if mix.Protocol == "grpc" {
 			return c.tryGRPC(ctx, front, mark, token, function, mix, m, ms, keep)
 		}
 		return c.tryHTTP(ctx, front, mark, token, function, mix, m, ms, keep)
--- a/internal/rehearse/tool.go
+++ b/internal/rehearse/tool.go
@@ -40,8 +40,8 @@
 // from when an RPC was due: a front end that stalls does not hide what waited for it.
 func Part(ctx context.Context, s *settings.Scenario, at Sockets, share, of int) (*scenario.Book, error) {
 	for _, m := range s.Load.Mix {
-		if list := map[string][]string{jsonRPC: at.JSONRPC, "http": at.HTTP, "grpc": at.GRPC}[m.Front]; len(list) == 0 {
-			return nil, m.Errorf("mix of method %q over %s: no socket is named for that", m.Method, m.Front)
+		if list := map[string][]string{jsonRPC: at.JSONRPC, "http": at.HTTP, "grpc": at.GRPC}[m.Protocol]; len(list) == 0 {
+			return nil, m.Errorf("mix of method %q over %s: no socket is named for that", m.Method, m.Protocol)
 		}
 	}
 	one := *s
--- a/internal/scenario/config.go
+++ b/internal/scenario/config.go
@@ -31,7 +31,7 @@
 	if bad {
 		switch rng.Intn(4) {
 		case 0: // figures that don't fit each other
-			next.Methods[0].Soft = next.Methods[0].Deadline + 10
+			next.Methods[0].SoftDeadline = next.Methods[0].Deadline + 10
 		case 1: // a reference to nothing
 			more = "  <group name=\"g\" zone=\"nowhere\"><worker name=\"x\" socket=\"/nowhere\"/></group>\n"
 		case 2: // out of range
@@ -49,7 +49,7 @@
 func Move(s *settings.Scenario) (string, error) {
 	next := s.Service
 	next.Shared.FrontEnds = 4 * s.Fleet.FrontEnds
-	next.CallOuts.Check, next.CallOuts.Advise = false, false
+	next.CallOuts.Check, next.CallOuts.AdviseRetry = false, false
 	text, err := settings.ElementText("service", next)
 	return "<configuration>\n" + text + "</configuration>\n", err
 }
--- a/internal/scenario/day.go
+++ b/internal/scenario/day.go
@@ -74,7 +74,7 @@
 		switch outcome {
 		case OK:
 			t.OK++
-			if took <= eventloop.ToDuration(m.Soft) {
+			if took <= eventloop.ToDuration(m.SoftDeadline) {
 				t.GainKept += m.Gain
 			} else {
 				t.Late++
@@ -174,15 +174,15 @@
 
 // traced is the next line of the trace, in the mix of its method where there is one.
 func (a *Arrivals) traced() (Arrival, bool) {
-	if a.n >= len(a.s.Load.Events) {
+	if a.n >= len(a.s.Load.TraceEvents) {
 		return Arrival{}, false
 	}
-	e := a.s.Load.Events[a.n]
+	e := a.s.Load.TraceEvents[a.n]
 	out := Arrival{N: a.n, At: eventloop.ToDuration(e.At), Seed: a.rng.Int63(), Function: e.Function,
-		Mix: settings.Mix{Method: e.Method, Customer: e.Customer, Front: a.s.Load.Mix[0].Front}}
+		Mix: settings.Mix{Method: e.Method, Customer: e.Customer, Protocol: a.s.Load.Mix[0].Protocol}}
 	for _, m := range a.s.Load.Mix {
 		if m.Method == e.Method {
-			out.Mix.Front = m.Front
+			out.Mix.Protocol = m.Protocol
 		}
 	}
 	a.n++
@@ -191,7 +191,7 @@
 
 // Next gives the next arrival; false: the day is over.
 func (a *Arrivals) Next() (Arrival, bool) {
-	if a.n >= a.s.Load.Most {
+	if a.n >= a.s.Load.MaxRPCs {
 		return Arrival{}, false
 	}
 	if a.s.Load.Process == "trace" {
@@ -244,7 +244,7 @@
 
 // NewClient begins one; its chance is its own.
 func NewClient(s *settings.Scenario, m *settings.Method, a Arrival) *Client {
-	return &Client{Method: m, s: &s.Clients, rng: rand.New(&chance{uint64(a.Seed)}), Token: fmt.Sprintf("t%d-%d", s.Seed, a.N)}
+	return &Client{Method: m, s: &s.Callers, rng: rand.New(&chance{uint64(a.Seed)}), Token: fmt.Sprintf("t%d-%d", s.Seed, a.N)}
 }
 
 // chance is a source that costs little to seed: there is one for each RPC. It is SplitMix64 (Steele, Lea, Flood, 2014).
@@ -290,8 +290,8 @@
 	if outcome == OK || outcome == Quit || !again {
 		return 0, false
 	}
-	wait = eventloop.ToDuration(c.s.BackOff)
-	if comeBack > 0 && c.rng.Float64() < c.s.Heed {
+	wait = eventloop.ToDuration(c.s.Backoff)
+	if comeBack > 0 && c.rng.Float64() < c.s.HeedShare {
 		wait = comeBack
 	}
 	return time.Duration(float64(wait) * (0.5 + c.rng.Float64())), true
@@ -299,8 +299,8 @@
 
 // Impatient tells whether it will leave before its answer comes, after how long, and by closing its connection.
 func (c *Client) Impatient() (after time.Duration, closes, is bool) {
-	is = c.rng.Float64() < c.s.Impatient
-	after = time.Duration(c.rng.Float64() * float64(eventloop.ToDuration(c.Method.Soft)))
+	is = c.rng.Float64() < c.s.ImpatientShare
+	after = time.Duration(c.rng.Float64() * float64(eventloop.ToDuration(c.Method.SoftDeadline)))
 	return after, c.rng.Intn(2) == 0, is
 }
 
--- a/internal/scenario/day_test.go
+++ b/internal/scenario/day_test.go
@@ -87,7 +87,7 @@
 func TestTrace(t *testing.T) {
 	as := all(read(t, `process="trace" trace="trace"`, "# a day\n0 a f1\n10.5 b f2\n\n10.5 a f1 c\n"))
 	if len(as) != 3 || as[1].At != 10500*time.Microsecond || as[1].Mix.Method != "b" || as[1].Function != "f2" || as[2].Mix.Customer != "c" ||
-		as[0].Mix.Front != "http" {
+		as[0].Mix.Protocol != "http" {
 		t.Errorf("%+v", as)
 	}
 	dir := t.TempDir()
--- a/internal/scenariosearch/hunt_test.go
+++ b/internal/scenariosearch/hunt_test.go
@@ -34,7 +34,7 @@
 		}
 	}
 	file := filepath.Join(t.TempDir(), "worst.xml")
-	if err := settings.Write(file, "scenario", f.Scenario); err != nil {
+	if err := settings.WriteFile(file, "scenario", f.Scenario); err != nil {
 		t.Fatal(err)
 	}
 	s, err := settings.ReadScenario(file)
--- a/internal/settings/configuration.go
+++ b/internal/settings/configuration.go
@@ -12,7 +12,8 @@
 	"mallowlanding/router"
 )
 
-// Configuration is what a control service tells all front ends: what they agree on, beside what is each one's own.
+// Configuration is the document that a control service sends to all front ends. It has the settings that they have in
+// common; FrontEnd has those of a single one.
 type Configuration struct {
 	Pos
 	Service   Service       `e:"service" need:"yes"`
@@ -23,19 +24,19 @@
 	Models    []Model       `e:"model"`
 }
 
-// Limits are bounds of what clients may have open; see Clients.
+// Limits bound the open RPCs of clients, in number and bytes; see Clients.
 type Limits struct {
 	Pos
-	Open       int   `a:"open" def:"1000" min:"1" max:"1000000"`
-	OpenBytes  int64 `a:"open-bytes" def:"67108864" min:"0" max:"1099511627776"`
+	ConnOpen   int   `a:"open" def:"1000" min:"1" max:"1000000"`
+	ConnBytes  int64 `a:"open-bytes" def:"67108864" min:"0" max:"1099511627776"`
 	TotalOpen  int   `a:"whole-open" def:"20000" min:"1" max:"10000000"`
 	TotalBytes int64 `a:"whole-bytes" def:"268435456" min:"1024" max:"1099511627776"`
 	PeerOpen   int   `a:"peer-open" def:"0" min:"0" max:"10000000"`
 	PeerBytes  int64 `a:"peer-bytes" def:"0" min:"0" max:"1099511627776"`
-	Held       int   `a:"held" def:"16" min:"0" max:"1000000"`
+	MaxHeld    int   `a:"held" def:"16" min:"0" max:"1000000"`
 }
 
-// WorkerGroup is workers that are part of the service whether a roster lists them or not.
+// WorkerGroup is a group of workers that belong to the service even if no roster lists them.
 type WorkerGroup struct {
 	Pos
 	Name    string         `a:"name" need:"yes"`
@@ -45,33 +46,34 @@
 	Workers []StaticWorker `e:"worker" need:"yes"`
 }
 
-// StaticWorker is one of a group.
+// StaticWorker is a worker of a WorkerGroup.
 type StaticWorker struct {
 	Pos
 	Name   string `a:"name" need:"yes"`
 	Socket string `a:"socket" need:"yes"`
 }
 
-// Source is a roster's socket; the first that answers is followed.
+// Source is the socket of a roster. A front end follows the first roster that responds.
 type Source struct {
 	Pos
 	Name   string `a:"name" need:"yes"`
 	Socket string `a:"socket" need:"yes"`
 }
 
-// Listener is a socket for clients beside the front end's own. FRONT in its path stands for the front end's name.
+// Listener is a further socket for clients, besides the front end's own. FRONT in its path is replaced by the name of the
+// front end.
 type Listener struct {
 	Pos
-	Name   string `a:"name" need:"yes"`
-	Front  string `a:"front" def:"json-rpc" words:"json-rpc http grpc"`
-	Socket string `a:"socket" need:"yes"`
+	Name     string `a:"name" need:"yes"`
+	Protocol string `a:"front" def:"json-rpc" words:"json-rpc http grpc"`
+	Socket   string `a:"socket" need:"yes"`
 }
 
-// ControlAt says where a front end's configuration comes from.
+// ControlAt is where a front end gets its configuration from.
 type ControlAt struct {
 	Pos
-	Sockets        string      `a:"sockets" need:"yes"` // of the control service's instances, by blanks
-	SavePath       string      `a:"keep" need:"yes"`    // file of the last good version
+	Sockets        string      `a:"sockets" need:"yes"` // of the control service's instances, separated by blanks
+	SavePath       string      `a:"keep" need:"yes"`    // file for the last good version
 	RedialMin      router.Time `a:"redial-min-ms" def:"50" min:"1" max:"60000"`
 	RedialMax      router.Time `a:"redial-max-ms" def:"1000" min:"1" max:"600000"`
 	ReportInterval router.Time `a:"figures-every-ms" def:"500" min:"10" max:"60000"`
@@ -80,16 +82,16 @@
 // Control is the document of one instance of the stand-in control service.
 type Control struct {
 	Pos
-	Name   string      `a:"name" need:"yes"`
-	Socket string      `a:"socket" need:"yes"` // for followers and operators
-	Peers  string      `a:"peer-socket" need:"yes"`
-	Dir    string      `a:"dir" need:"yes"` // of its store
-	Beat   router.Time `a:"beat-ms" def:"250" min:"20" max:"60000"`
-	Roll   Roll        `e:"rollout"`
-	Others []Instance  `e:"instance"`
+	Name       string      `a:"name" need:"yes"`
+	Socket     string      `a:"socket" need:"yes"` // for followers and operators
+	PeerSocket string      `a:"peer-socket" need:"yes"`
+	Dir        string      `a:"dir" need:"yes"` // directory of its store
+	Heartbeat  router.Time `a:"beat-ms" def:"250" min:"20" max:"60000"`
+	Rollout    Roll        `e:"rollout"`
+	Others     []Instance  `e:"instance"`
 }
 
-// Roll is how versions reach the front ends.
+// Roll has the parameters of rollouts; see rollout.Settings.
 type Roll struct {
 	Pos
 	Stages          string      `a:"stages" def:"0.05 0.25 1"`
@@ -104,17 +106,17 @@
 // Instance is another instance of the control service.
 type Instance struct {
 	Pos
-	Name   string `a:"name" need:"yes"`
-	Socket string `a:"peer-socket" need:"yes"`
+	Name       string `a:"name" need:"yes"`
+	PeerSocket string `a:"peer-socket" need:"yes"`
 }
 
-// Shares are the stages, each a share of the front ends.
+// Shares returns the stages, each as a share of the front ends.
 func (r *Roll) Shares() (out []float64, err error) {
 	for word := range strings.FieldsSeq(r.Stages) {
 		var share float64
 		if _, err := fmt.Sscanf(word, "%g", &share); err != nil || share <= 0 || share > 1 ||
 			len(out) > 0 && share <= out[len(out)-1] {
-			return nil, r.Errorf("stages %q: %q is no share above the one before, at most 1", r.Stages, word)
+			return nil, r.Errorf("stages %q: %q is not a share above the one before and at most 1", r.Stages, word)
 		}
 		out = append(out, share)
 	}
@@ -124,26 +126,26 @@
 	return out, nil
 }
 
-// ReadControl reads and checks the document of a control service's instance.
+// ReadControl reads and checks the document of an instance of the control service.
 func ReadControl(file string) (*Control, error) {
 	c := &Control{}
 	if err := readFile(file, "control", c); err != nil {
 		return nil, err
 	}
-	if _, err := c.Roll.Shares(); err != nil {
+	if _, err := c.Rollout.Shares(); err != nil {
 		return nil, err
 	}
 	if len(c.Others)%2 != 0 {
-		return nil, c.Errorf("%d instances: an odd number can lose one more", len(c.Others)+1)
+		return nil, c.Errorf("%d instances: an even number tolerates no more failures than one instance fewer; use an odd number", len(c.Others)+1)
 	}
-	return c, distinct(append(slices.Clone(c.Others), Instance{c.Pos, c.Name, c.Peers}),
+	return c, checkDistinct(append(slices.Clone(c.Others), Instance{c.Pos, c.Name, c.PeerSocket}),
 		func(i Instance) (string, Pos) { return i.Name, i.Pos }, "instance")
 }
 
-// ReadConfiguration reads a configuration and checks all of it that needs no front end.
+// ReadConfiguration reads a configuration and checks everything that does not depend on a front end.
 func ReadConfiguration(file string, in io.Reader) (*Configuration, error) {
 	c := &Configuration{}
-	if err := read(file, in, "configuration", c); err != nil {
+	if err := readDocument(file, in, "configuration", c); err != nil {
 		return nil, err
 	}
 	return c, c.check()
@@ -158,24 +160,25 @@
 		g := &c.Groups[i]
 		workers = append(workers, g.Workers...)
 		switch {
-		case g.Zone != "" && place(c.Service.Zones, g.Zone) < 0:
-			return g.Errorf("zone %q is none of the service's", g.Zone)
-		case g.Cell != "" && place(c.Service.Cells, g.Cell) < 0:
-			return g.Errorf("cell %q is none of the service's", g.Cell)
+		case g.Zone != "" && indexByName(c.Service.Zones, g.Zone) < 0:
+			return g.Errorf("zone %q is not defined in the service", g.Zone)
+		case g.Cell != "" && indexByName(c.Service.Cells, g.Cell) < 0:
+			return g.Errorf("cell %q is not defined in the service", g.Cell)
 		case g.Kind != "" && c.Service.KindID(g.Kind) == router.KindID(len(c.Service.Kinds)):
-			return g.Errorf("kind %q is none of the service's", g.Kind)
+			return g.Errorf("kind %q is not defined in the service", g.Kind)
 		}
 	}
 	return cmp.Or(
-		distinct(c.Groups, func(g WorkerGroup) (string, Pos) { return g.Name, g.Pos }, "group"),
-		distinct(workers, func(w StaticWorker) (string, Pos) { return w.Name, w.Pos }, "worker"),
-		distinct(c.Sources, func(s Source) (string, Pos) { return s.Name, s.Pos }, "source"),
-		distinct(c.Listeners, func(l Listener) (string, Pos) { return l.Name, l.Pos }, "listener"),
-		distinct(c.Listeners, func(l Listener) (string, Pos) { return l.Socket, l.Pos }, "listener of socket"))
+		checkDistinct(c.Groups, func(g WorkerGroup) (string, Pos) { return g.Name, g.Pos }, "group"),
+		checkDistinct(workers, func(w StaticWorker) (string, Pos) { return w.Name, w.Pos }, "worker"),
+		checkDistinct(c.Sources, func(s Source) (string, Pos) { return s.Name, s.Pos }, "source"),
+		checkDistinct(c.Listeners, func(l Listener) (string, Pos) { return l.Name, l.Pos }, "listener"),
+		checkDistinct(c.Listeners, func(l Listener) (string, Pos) { return l.Socket, l.Pos }, "listener of socket"))
 }
 
-// WithConfiguration is the front end under a configuration. Places of methods, customers, zones, cells and kinds stay those of
-// before, the front end as it is; new ones follow, and what is gone keeps its place. All of it is checked.
+// WithConfiguration returns the front end's settings with a configuration applied, fully checked. Methods, customers,
+// zones, cells and kinds keep the indexes that they have in before, the current service; new ones follow, and removed
+// ones keep their index.
 func (f *FrontEnd) WithConfiguration(c *Configuration, before *Service) (*FrontEnd, error) {
 	next := *f
 	next.Service = c.Service
@@ -189,7 +192,7 @@
 		next.KServe = &k
 	}
 	for _, l := range c.Listeners {
-		if l.Front != "json-rpc" && f.KServe == nil {
+		if l.Protocol != "json-rpc" && f.KServe == nil {
 			return nil, l.Errorf("listener %q: this front end has no kserve element", l.Name)
 		}
 	}
@@ -201,34 +204,34 @@
 	if err := next.check(); err != nil {
 		return nil, err
 	}
-	next.Service = *c.Service.after(before)
+	next.Service = *c.Service.alignedTo(before)
 	return &next, nil
 }
 
-// AlignService is the configuration's service with everything at the places that it has in before.
-func (c *Configuration) AlignService(before *Service) *Service { return c.Service.after(before) }
+// AlignService returns the configuration's service with everything at the indexes that it has in before.
+func (c *Configuration) AlignService(before *Service) *Service { return c.Service.alignedTo(before) }
 
-// ApplyLimits takes over the bounds of a configuration; nil: it has none.
+// ApplyLimits replaces the limits by those of a configuration; nil leaves them as they are.
 func (c *Clients) ApplyLimits(l *Limits) {
 	if l == nil {
 		return
 	}
-	c.Open, c.OpenBytes, c.TotalOpen, c.TotalBytes = l.Open, l.OpenBytes, l.TotalOpen, l.TotalBytes
-	c.PeerOpen, c.PeerBytes, c.Held = l.PeerOpen, l.PeerBytes, l.Held
+	c.ConnOpen, c.ConnBytes, c.TotalOpen, c.TotalBytes = l.ConnOpen, l.ConnBytes, l.TotalOpen, l.TotalBytes
+	c.PeerOpen, c.PeerBytes, c.MaxHeld = l.PeerOpen, l.PeerBytes, l.MaxHeld
 }
 
-// LimitSettings are the figures of the front end's gate.
+// LimitSettings returns the settings of the front end's admission queue.
 func (f *FrontEnd) LimitSettings() admission.Settings {
-	c, back := &f.Clients, f.Service.CallOuts.RetryAfter
-	if !f.Service.CallOuts.Advise {
-		back = 0
+	c, maxRetryAfter := &f.Clients, f.Service.CallOuts.RetryAfter
+	if !f.Service.CallOuts.AdviseRetry {
+		maxRetryAfter = 0
 	}
 	return admission.Settings{Total: admission.Limit{RPCs: c.TotalOpen, Bytes: c.TotalBytes},
-		Peer: admission.Limit{RPCs: c.PeerOpen, Bytes: c.PeerBytes}, Conn: admission.Limit{RPCs: c.Open, Bytes: c.OpenBytes},
-		MaxHeld: c.Held, MaxRetryAfter: back}
+		Peer: admission.Limit{RPCs: c.PeerOpen, Bytes: c.PeerBytes}, Conn: admission.Limit{RPCs: c.ConnOpen, Bytes: c.ConnBytes},
+		MaxHeld: c.MaxHeld, MaxRetryAfter: maxRetryAfter}
 }
 
-// CustomerNames are the customers' by place, empty where one is gone.
+// CustomerNames returns the names of the customers by index, empty for removed ones.
 func (s *Service) CustomerNames() []string {
 	out := make([]string, len(s.Customers))
 	for i, c := range s.Customers {
@@ -239,46 +242,48 @@
 	return out
 }
 
-// after is s with everything at the places that it has in before.
-func (s *Service) after(before *Service) *Service {
+// alignedTo returns s with everything at the indexes that it has in before.
+func (s *Service) alignedTo(before *Service) *Service {
 	out := *s
-	out.Methods = settle(before.Methods, s.Methods, func(m *Method) string { return m.Name }, func(m *Method) { m.Removed = true })
-	out.Customers = settle(before.Customers, s.Customers, func(c *Customer) string { return c.Name }, func(c *Customer) { c.Removed, c.Quota = true, 0 })
-	still := func(n *Named) string { return n.Name }
-	out.Zones = settle(before.Zones, s.Zones, still, func(*Named) {})
-	out.Cells = settle(before.Cells, s.Cells, still, func(*Named) {})
-	out.Kinds = settle(before.Kinds, s.Kinds, func(k *Kind) string { return k.Name }, func(*Kind) {})
+	out.Methods = alignByName(before.Methods, s.Methods, func(m *Method) string { return m.Name }, func(m *Method) { m.Removed = true })
+	out.Customers = alignByName(before.Customers, s.Customers, func(c *Customer) string { return c.Name }, func(c *Customer) { c.Removed, c.Quota = true, 0 })
+	zoneOrCellName := func(n *Named) string { return n.Name }
+	out.Zones = alignByName(before.Zones, s.Zones, zoneOrCellName, func(*Named) {})
+	out.Cells = alignByName(before.Cells, s.Cells, zoneOrCellName, func(*Named) {})
+	out.Kinds = alignByName(before.Kinds, s.Kinds, func(k *Kind) string { return k.Name }, func(*Kind) {})
 	return &out
 }
 
-// settle puts what is there now at the places of before; what is not any more is marked.
-func settle[T any](before, now []T, name func(*T) string, gone func(*T)) []T {
-	out, at := slices.Clone(before), map[string]int{}
+// alignByName returns the current items at the indexes that their names have in known; new items follow. Known items that
+// are not among the current ones are marked by markRemoved.
+func alignByName[T any](known, current []T, name func(*T) string, markRemoved func(*T)) []T {
+	out, indexes := slices.Clone(known), map[string]int{}
 	for i := range out {
-		at[name(&out[i])] = i
-		gone(&out[i])
+		indexes[name(&out[i])] = i
+		markRemoved(&out[i])
 	}
-	for i := range now {
-		if place, known := at[name(&now[i])]; known {
-			out[place] = now[i]
+	for i := range current {
+		if index, exists := indexes[name(&current[i])]; exists {
+			out[index] = current[i]
 		} else {
-			out = append(out, now[i])
+			out = append(out, current[i])
 		}
 	}
 	return out
 }
 
-// Resource is one resource of a configuration: an element, by its path and name.
+// Resource is one resource of a configuration: an element with the path of its type, its name and its XML text.
 type Resource struct {
 	Type, Name, Text string
 }
 
-// partOrder is the order of the parts' types in a configuration's text, which the schema asks for.
-var partOrder = []string{"service/method", "service/customer", "service/zone", "service/cell", "service/kind",
-	"service/functions", "service/call-outs", "service/rules", "service/price", "service/shared", "limits", "group", "source", "listener", "model"}
+// resourceOrder is the order of the resource types in a configuration's text, as the schema requires it.
+var resourceOrder = []string{"service/method", "service/customer", "service/zone", "service/cell", "service/kind",
+	"service/functions", "service/call-outs", "service/rules", "service/price", "service/shared",
+	"limits", "group", "source", "listener", "model"}
 
-// ReadResources splits a configuration's text, which must be well-formed; its names and figures need not be good. They come in
-// the order of Text.
+// ReadResources splits a configuration's text into its resources, in the order of ResourcesText. The text must be
+// well-formed; names and values are not checked.
 func ReadResources(file string, in io.Reader) ([]Resource, error) {
 	root, err := parse(file, in)
 	if err != nil {
@@ -287,7 +292,7 @@
 	if root.name != "configuration" {
 		return nil, root.pos.Errorf("root element %q, want %q", root.name, "configuration")
 	}
-	var parts []Resource
+	var resources []Resource
 	seen := map[Resource]bool{}
 	var split func(e *element, path string) error
 	split = func(e *element, path string) error {
@@ -314,37 +319,37 @@
 			}
 			seen[p] = true
 			var b bytes.Buffer
-			child.append(&b, "")
+			child.appendTo(&b, "")
 			p.Text = b.String()
-			parts = append(parts, p)
+			resources = append(resources, p)
 		}
 		return nil
 	}
 	if err := split(root, ""); err != nil {
 		return nil, err
 	}
-	SortResources(parts)
-	return parts, nil
+	SortResources(resources)
+	return resources, nil
 }
 
-// SortResources puts parts into the order of Text.
-func SortResources(parts []Resource) {
+// SortResources sorts resources into the order of ResourcesText.
+func SortResources(resources []Resource) {
 	rank := func(p Resource) int {
-		if i := slices.Index(partOrder, p.Type); i >= 0 {
+		if i := slices.Index(resourceOrder, p.Type); i >= 0 {
 			return i
 		}
-		return len(partOrder)
+		return len(resourceOrder)
 	}
-	slices.SortFunc(parts, func(a, b Resource) int {
+	slices.SortFunc(resources, func(a, b Resource) int {
 		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.Type, b.Type), cmp.Compare(a.Name, b.Name))
 	})
 }
 
-// append writes an element as it was read.
-func (e *element) append(b *bytes.Buffer, indent string) {
+// appendTo appends the XML of an element with the content that was read.
+func (e *element) appendTo(b *bytes.Buffer, indent string) {
 	fmt.Fprintf(b, "%s<%s", indent, e.name)
 	for _, a := range e.attrs {
-		fmt.Fprintf(b, " %s=\"%s\"", a.Name.Local, escape(a.Value))
+		fmt.Fprintf(b, " %s=\"%s\"", a.Name.Local, escapeXML(a.Value))
 	}
 	if len(e.children) == 0 {
 		b.WriteString("/>\n")
@@ -352,15 +357,16 @@
 	}
 	b.WriteString(">\n")
 	for _, child := range e.children {
-		child.append(b, indent+"  ")
+		child.appendTo(b, indent+"  ")
 	}
 	fmt.Fprintf(b, "%s</%s>\n", indent, e.name)
 }
 
-// ResourcesText is the one text that parts, in their order, stand for: what is numbered, digested, kept and shown.
-func ResourcesText(parts []Resource) string {
+// ResourcesText returns the canonical text of resources, which are in order. This text is numbered, digested, saved and
+// shown.
+func ResourcesText(resources []Resource) string {
 	var service, rest strings.Builder
-	for _, p := range parts {
+	for _, p := range resources {
 		to, indent := &rest, "  "
 		if strings.HasPrefix(p.Type, "service/") {
 			to, indent = &service, "    "
--- a/internal/settings/experiment.go
+++ b/internal/settings/experiment.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// Experiment is a plan: days, policies and settings, each combination with the same seeds.
+// Experiment is a plan of runs: every combination of scenarios (days), policies and varied settings, with the same seeds.
 type Experiment struct {
 	Pos
 	Name      string    `a:"name" need:"yes"`
@@ -21,20 +21,21 @@
 	Varied    []Vary    `e:"vary"`
 }
 
-// PlanDay is a scenario, by its file's path from the plan's folder.
+// PlanDay is a scenario of a plan. The path of its file is relative to the folder of the plan.
 type PlanDay struct {
 	Pos
 	File string `a:"scenario" need:"yes"`
 }
 
-// Vary sets attributes of the scenario to each of some values: ELEMENT/ELEMENT[N]@ATTRIBUTE, N from 0, 0 if left out.
+// Vary sets attributes of the scenario to each of several values. The path of an attribute is
+// ELEMENT/ELEMENT[N]@ATTRIBUTE, where N counts from 0 and may be left out for 0.
 type Vary struct {
 	Pos
-	Set    string `a:"set" need:"yes"`    // by blanks: more than one go together
-	Values string `a:"values" need:"yes"` // by blanks, each with a part for each attribute, by commas
+	Set    string `a:"set" need:"yes"`    // paths, separated by blanks; several are set together
+	Values string `a:"values" need:"yes"` // separated by blanks; each has a part for each path, separated by commas
 }
 
-// OverrideSets are the overrides of each value.
+// OverrideSets returns the overrides of each value.
 func (v *Vary) OverrideSets() (out [][]Override, err error) {
 	paths := strings.Fields(v.Set)
 	for value := range strings.FieldsSeq(v.Values) {
@@ -44,7 +45,7 @@
 		}
 		var step []Override
 		for i, path := range paths {
-			if !pathForm.MatchString(path) {
+			if !overridePattern.MatchString(path) {
 				return nil, v.Errorf("set %q: want ELEMENT/ELEMENT[N]@ATTRIBUTE", path)
 			}
 			step = append(step, Override{path, parts[i]})
@@ -54,12 +55,12 @@
 	return out, nil
 }
 
-// Override is one attribute's value.
+// Override sets the attribute at Path to Value.
 type Override struct{ Path, Value string }
 
-var pathForm = regexp.MustCompile(`^([a-z-]+(\[[0-9]+\])?/)*([a-z-]+(\[[0-9]+\])?)?@[a-z-]+$`)
+var overridePattern = regexp.MustCompile(`^([a-z-]+(\[[0-9]+\])?/)*([a-z-]+(\[[0-9]+\])?)?@[a-z-]+$`)
 
-// ReadExperiment reads and checks a plan; the scenarios' paths become ones from here.
+// ReadExperiment reads and checks a plan. The paths of the scenarios become relative to the current directory.
 func ReadExperiment(file string) (*Experiment, error) {
 	x := &Experiment{}
 	if err := readFile(file, "experiment", x); err != nil {
@@ -85,10 +86,10 @@
 			}
 		}
 	}
-	return x, distinct(x.Policies, named, "policy")
+	return x, checkDistinct(x.Policies, nameAndPos, "policy")
 }
 
-// ReadScenarioWith is ReadScenario with attributes set.
+// ReadScenarioWith is like ReadScenario, with some attributes overridden.
 func ReadScenarioWith(file string, set []Override) (*Scenario, error) {
 	in, err := os.Open(file)
 	if err != nil {
@@ -103,21 +104,21 @@
 		return nil, root.pos.Errorf("root element %q, want %q", root.name, "scenario")
 	}
 	for _, o := range set {
-		if err := root.override(o); err != nil {
+		if err := root.setAttribute(o); err != nil {
 			return nil, err
 		}
 	}
 	s := &Scenario{}
-	if err := root.into(reflect.ValueOf(s).Elem()); err != nil {
+	if err := root.decode(reflect.ValueOf(s).Elem()); err != nil {
 		return nil, err
 	}
 	return s, s.check()
 }
 
-// override sets an attribute, of an element that is there.
-func (e *element) override(o Override) error {
+// setAttribute applies an override. The element must exist, the attribute need not.
+func (e *element) setAttribute(o Override) error {
 	path, attr, _ := strings.Cut(o.Path, "@")
-	at := e
+	target := e
 	for step := range strings.SplitSeq(path, "/") {
 		if step == "" {
 			continue
@@ -125,7 +126,7 @@
 		name, index, _ := strings.Cut(strings.TrimSuffix(step, "]"), "[")
 		n, _ := strconv.Atoi(index)
 		var found *element
-		for _, child := range at.children {
+		for _, child := range target.children {
 			if child.name == name {
 				if n == 0 {
 					found = child
@@ -135,16 +136,16 @@
 			}
 		}
 		if found == nil {
-			return at.pos.Errorf("no element %q in %q to set %s", step, at.name, o.Path)
+			return target.pos.Errorf("no element %q in %q to set %s", step, target.name, o.Path)
 		}
-		at = found
+		target = found
 	}
-	for i := range at.attrs {
-		if at.attrs[i].Name.Local == attr {
-			at.attrs[i].Value = o.Value
+	for i := range target.attrs {
+		if target.attrs[i].Name.Local == attr {
+			target.attrs[i].Value = o.Value
 			return nil
 		}
 	}
-	at.attrs = append(at.attrs, xml.Attr{Name: xml.Name{Local: attr}, Value: o.Value})
+	target.attrs = append(target.attrs, xml.Attr{Name: xml.Name{Local: attr}, Value: o.Value})
 	return nil
 }
--- a/internal/settings/scenario.go
+++ b/internal/settings/scenario.go
@@ -15,7 +15,7 @@
 
 func openFile(file string) (io.ReadCloser, error) { return os.Open(file) }
 
-// Scenario is a scripted day: a fleet, a load, and what goes wrong.
+// Scenario is the document of a scenario: a service, a fleet, a load, and the troubles that happen at given times.
 type Scenario struct {
 	Pos
 	Name     string      `a:"name" need:"yes"`
@@ -25,11 +25,11 @@
 	Service  Service     `e:"service" need:"yes"`
 	Fleet    Fleet       `e:"fleet" need:"yes"`
 	Load     Load        `e:"load" need:"yes"`
-	Clients  Callers     `e:"callers"`
+	Callers  Callers     `e:"callers"`
 	Troubles []Trouble   `e:"trouble"`
 }
 
-// Fleet is who runs.
+// Fleet has the processes that run: front ends, workers, the store and the control service.
 type Fleet struct {
 	Pos
 	FrontEnds int          `a:"front-ends" def:"3" min:"1" max:"1000"`
@@ -41,22 +41,22 @@
 	Network   Network      `e:"network"`
 }
 
-// Network is how long messages take in the emulator; sockets have their own.
+// Network has the message delays of the emulator. Rehearsals use real sockets with their own delays.
 type Network struct {
 	Pos
-	DelayUs float64 `a:"delay-us" def:"60" min:"1" max:"10000000"` // mean of one way
-	Spread  float64 `a:"spread" def:"0.5" min:"0" max:"3"`         // sigma of the delays' logarithm
+	DelayUs float64 `a:"delay-us" def:"60" min:"1" max:"10000000"` // mean one-way delay
+	Spread  float64 `a:"spread" def:"0.5" min:"0" max:"3"`         // standard deviation of the logarithm of the delay
 }
 
-// ControlOf is a fleet's control service.
+// ControlOf is the control service of a fleet.
 type ControlOf struct {
 	Pos
 	Instances int         `a:"instances" def:"3" min:"1" max:"7"`
-	Beat      router.Time `a:"beat-ms" def:"250" min:"20" max:"60000"`
-	Roll      Roll        `e:"rollout"`
+	Heartbeat router.Time `a:"beat-ms" def:"250" min:"20" max:"60000"`
+	Rollout   Roll        `e:"rollout"`
 }
 
-// Group is some workers of one make.
+// Group is a number of equal workers.
 type Group struct {
 	Pos
 	Count   int     `a:"count" need:"yes" min:"1" max:"10000"`
@@ -66,30 +66,30 @@
 	Machine Machine `e:"machine"`
 }
 
-// Load is what clients ask for: an open loop, arrivals don't wait for answers.
+// Load describes the arrivals of RPCs. It is an open loop: arrivals do not wait for answers.
 type Load struct {
 	Pos
 	Rate      float64 `a:"rate-per-s" need:"yes" min:"0.1" max:"100000"`
-	Most      int     `a:"most" def:"100000" min:"1" max:"10000000"`
+	MaxRPCs   int     `a:"most" def:"100000" min:"1" max:"10000000"`
 	Functions int     `a:"functions" def:"20" min:"1" max:"100000"`
 	Zipf      float64 `a:"zipf" def:"1.1" min:"1.001" max:"10"`
 
 	Process string      `a:"process" def:"poisson" words:"poisson steady bursty diurnal trace"`
 	Period  router.Time `a:"period-ms" def:"10000" min:"10" max:"86400000"` // of bursts, or of the day
-	Depth   float64     `a:"depth" def:"0.5" min:"0" max:"1"`               // how far the rate swings about its mean
-	Trace   string      `a:"trace"`                                         // file: MS METHOD FUNCTION [CUSTOMER] a line
+	Depth   float64     `a:"depth" def:"0.5" min:"0" max:"1"`               // amplitude of the rate, relative to its mean
+	Trace   string      `a:"trace"`                                         // file with lines MS METHOD FUNCTION [CUSTOMER]
 	Mix     []Mix       `e:"mix" need:"yes"`
 
-	Events []TraceEvent // of the trace, once it is read
+	TraceEvents []TraceEvent // content of the trace file, in order
 }
 
-// TraceEvent is one line of a trace.
+// TraceEvent is one line of a trace: an RPC and its time.
 type TraceEvent struct {
 	At                         router.Time
 	Method, Function, Customer string
 }
 
-// readTrace reads the trace's file, which lies beside the scenario's where its path is not whole.
+// readTrace reads the trace file. A relative path is relative to the folder of the scenario.
 func (l *Load) readTrace() error {
 	file := l.Trace
 	if !filepath.IsAbs(file) {
@@ -115,36 +115,36 @@
 		if len(f) > 3 {
 			e.Customer = f[3]
 		}
-		if len(l.Events) > 0 && e.At < l.Events[len(l.Events)-1].At || e.At < 0 {
+		if len(l.TraceEvents) > 0 && e.At < l.TraceEvents[len(l.TraceEvents)-1].At || e.At < 0 {
 			return at.Errorf("%s ms is before the line above, or below 0", f[0])
 		}
-		l.Events = append(l.Events, e)
+		l.TraceEvents = append(l.TraceEvents, e)
 	}
 	return lines.Err()
 }
 
-// Mix is one method's part of the load.
+// Mix is the share of one method in the load.
 type Mix struct {
 	Pos
 	Method   string  `a:"method" need:"yes"`
 	Share    float64 `a:"share" need:"yes" min:"0" max:"1"`
 	Customer string  `a:"customer"`
-	Front    string  `a:"front" def:"json-rpc" words:"json-rpc http grpc"`
+	Protocol string  `a:"front" def:"json-rpc" words:"json-rpc http grpc"`
 }
 
-// Callers tells how clients behave.
+// Callers describes how clients behave.
 type Callers struct {
 	Pos
-	Connections int         `a:"connections" def:"4" min:"1" max:"10000"`
-	Retries     int         `a:"retries" def:"2" min:"0" max:"20"`
-	TryShare    float64     `a:"try-share" def:"0.7" min:"0.05" max:"1"`
-	BackOff     router.Time `a:"back-off-ms" def:"50" min:"0" max:"60000"`
-	Heed        float64     `a:"heed" def:"0.8" min:"0" max:"1"`
-	Impatient   float64     `a:"impatient" def:"0" min:"0" max:"1"`
-	Notice      router.Time `a:"notice-ms" def:"1000" min:"0" max:"60000"`
+	Connections    int         `a:"connections" def:"4" min:"1" max:"10000"`
+	Retries        int         `a:"retries" def:"2" min:"0" max:"20"`
+	TryShare       float64     `a:"try-share" def:"0.7" min:"0.05" max:"1"`
+	Backoff        router.Time `a:"back-off-ms" def:"50" min:"0" max:"60000"`
+	HeedShare      float64     `a:"heed" def:"0.8" min:"0" max:"1"`
+	ImpatientShare float64     `a:"impatient" def:"0" min:"0" max:"1"`
+	Notice         router.Time `a:"notice-ms" def:"1000" min:"0" max:"60000"`
 }
 
-// Trouble is something that goes wrong at a time.
+// Trouble is a fault that is injected at a given time.
 type Trouble struct {
 	Pos
 	Kind string      `a:"kind" need:"yes" words:"burst crash hang slow fast-errors load-fails report-late deploy flush scan zone-loss front-end-kill front-end-roll front-end-stall ageing preempt half-frame close config config-flood config-move control-kill control-silence slow-function answers-lost cut-to-workers cut-from-workers clock-step"`
@@ -155,7 +155,8 @@
 	Zone string      `a:"zone"`
 }
 
-// ZoneOf is the zone of the n-th worker or front end that names none: each in turn; empty where there are no zones.
+// ZoneOf returns the zone of the n-th worker or front end without a zone of its own: the zones in turn, or "" if there
+// are none.
 func (s *Scenario) ZoneOf(n int) string {
 	if len(s.Service.Zones) == 0 {
 		return ""
@@ -163,7 +164,7 @@
 	return s.Service.Zones[n%len(s.Service.Zones)].Name
 }
 
-// Workers are the fleet's at the beginning, without their sockets.
+// Workers returns the initial workers of the fleet, without their sockets.
 func (s *Scenario) Workers() (out []*Worker) {
 	for _, g := range s.Fleet.Groups {
 		for range g.Count {
@@ -197,7 +198,7 @@
 			return w.Errorf("work of method %q, which the service does not have", w.Method)
 		}
 	}
-	if err := distinct(s.Fleet.Work, func(m WorkMethod) (string, Pos) { return m.Method, m.Pos }, "work of method"); err != nil {
+	if err := checkDistinct(s.Fleet.Work, func(m WorkMethod) (string, Pos) { return m.Method, m.Pos }, "work of method"); err != nil {
 		return err
 	}
 	for _, t := range s.Troubles {
@@ -206,21 +207,21 @@
 		}
 	}
 	if c := s.Fleet.Control; c != nil {
-		if _, err := c.Roll.Shares(); err != nil {
+		if _, err := c.Rollout.Shares(); err != nil {
 			return err
 		}
 		if c.Instances%2 == 0 {
-			return c.Errorf("%d instances: an odd number can lose one more", c.Instances)
+			return c.Errorf("%d instances: an even number tolerates no more failures than one instance fewer; use an odd number", c.Instances)
 		}
 	}
 	if (s.Load.Process == "trace") != (s.Load.Trace != "") {
-		return s.Load.Errorf("process %q and trace %q: one belongs to the other", s.Load.Process, s.Load.Trace)
+		return s.Load.Errorf("process %q with trace %q: process trace and a trace file require each other", s.Load.Process, s.Load.Trace)
 	}
 	if s.Load.Trace != "" {
 		if err := s.Load.readTrace(); err != nil {
 			return err
 		}
-		for _, e := range s.Load.Events {
+		for _, e := range s.Load.TraceEvents {
 			if !known[e.Method] {
 				return s.Load.Errorf("the trace has method %q, which the service does not have", e.Method)
 			}
@@ -236,8 +237,8 @@
 		return s.Load.Errorf("the shares of the mix add up to %g, not 1", sum)
 	}
 	for _, t := range s.Troubles {
-		if t.Kind == "zone-loss" && place(s.Service.Zones, t.Zone) < 0 {
-			return t.Errorf("zone %q is none of the service's", t.Zone)
+		if t.Kind == "zone-loss" && indexByName(s.Service.Zones, t.Zone) < 0 {
+			return t.Errorf("zone %q is not defined in the service", t.Zone)
 		}
 	}
 	return nil
--- a/internal/settings/schema.go
+++ b/internal/settings/schema.go
@@ -11,10 +11,10 @@
 	"mallowlanding/router"
 )
 
-// Schema writes the XML schema of all documents, from the same tags by which they are read. What reaches over more
-// than one element (a name that stands twice, a reference, figures that must fit together) is the readers' alone.
+// Schema returns the XML schema of all documents, generated from the struct tags by which they are read. Only the readers
+// check rules that concern more than one element: distinct names, references, and values that must fit together.
 func Schema() []byte {
-	s := &schema{done: map[reflect.Type]bool{}}
+	s := &schemaWriter{written: map[reflect.Type]bool{}}
 	s.b.WriteString(xml.Header)
 	s.b.WriteString("<!-- Written by: mallowlanding schema. Times are in milliseconds. -->\n")
 	s.b.WriteString("<xs:schema xmlns:xs=\"http://www.w3.org/2001/XMLSchema\">\n")
@@ -29,63 +29,63 @@
 		fmt.Fprintf(&s.b, "  <xs:element name=%q type=%q/>\n", r.name, r.t.Name())
 	}
 	for _, r := range roots {
-		s.complex(r.t)
+		s.writeComplexType(r.t)
 	}
 	s.b.WriteString("</xs:schema>\n")
 	return s.b.Bytes()
 }
 
-type schema struct {
-	b    bytes.Buffer
-	done map[reflect.Type]bool
+type schemaWriter struct {
+	b       bytes.Buffer
+	written map[reflect.Type]bool
 }
 
-func (s *schema) complex(t reflect.Type) {
-	if s.done[t] {
+func (s *schemaWriter) writeComplexType(t reflect.Type) {
+	if s.written[t] {
 		return
 	}
-	s.done[t] = true
+	s.written[t] = true
 	var children []reflect.Type
 	fmt.Fprintf(&s.b, "  <xs:complexType name=%q>\n", t.Name())
-	body := false
+	inSequence := false
 	for i := range t.NumField() {
 		f := t.Field(i)
 		name := f.Tag.Get("e")
 		if name == "" {
 			continue
 		}
-		if !body {
+		if !inSequence {
 			s.b.WriteString("    <xs:sequence>\n")
-			body = true
+			inSequence = true
 		}
-		child, most := f.Type, ""
+		child, maxOccurs := f.Type, ""
 		if child.Kind() == reflect.Slice {
-			child, most = child.Elem(), ` maxOccurs="unbounded"`
+			child, maxOccurs = child.Elem(), ` maxOccurs="unbounded"`
 		} else if child.Kind() == reflect.Pointer {
 			child = child.Elem()
 		}
-		least := ` minOccurs="0"`
+		minOccurs := ` minOccurs="0"`
 		if f.Tag.Get("need") != "" {
-			least = ""
+			minOccurs = ""
 		}
-		fmt.Fprintf(&s.b, "      <xs:element name=%q type=%q%s%s/>\n", name, child.Name(), least, most)
+		fmt.Fprintf(&s.b, "      <xs:element name=%q type=%q%s%s/>\n", name, child.Name(), minOccurs, maxOccurs)
 		children = append(children, child)
 	}
-	if body {
+	if inSequence {
 		s.b.WriteString("    </xs:sequence>\n")
 	}
 	for i := range t.NumField() {
 		if f := t.Field(i); f.Tag.Get("a") != "" {
-			s.attribute(f)
+			s.writeAttribute(f)
 		}
 	}
 	s.b.WriteString("  </xs:complexType>\n")
 	for _, child := range children {
-		s.complex(child)
+		s.writeComplexType(child)
 	}
 }
 
-func (s *schema) attribute(f reflect.StructField) {
+func (s *schemaWriter) writeAttribute(f reflect.StructField) {
 	fmt.Fprintf(&s.b, "    <xs:attribute name=%q", f.Tag.Get("a"))
 	if f.Tag.Get("need") != "" {
 		s.b.WriteString(` use="required"`)
--- a/internal/settings/strict.go
+++ b/internal/settings/strict.go
@@ -15,22 +15,25 @@
 	"mallowlanding/router"
 )
 
-// Strict reading of XML into structs whose fields carry tags:
+// This file reads XML strictly into structs whose fields have these tags:
 //
-//	a:"name"      an attribute; e:"name" a child element (a struct, a pointer to one, or a slice of structs)
-//	need:"yes"    it must be there (of a slice: one at least)
-//	def:"value"   its value where it is left out
-//	min, max      bounds of a number, both allowed; words: the words allowed, by blanks
+//	a:"name"      the field is an attribute
+//	e:"name"      the field is a child element: a struct, a pointer to one, or a slice of structs
+//	need:"yes"    the attribute or element is required; a slice needs at least one
+//	def:"value"   default value
+//	min, max      inclusive bounds of a number
+//	words         allowed words, separated by blanks
 //
-// Children stand in the fields' order. Whatever a struct does not name is an error. A struct may have a Pos, which takes the element's place.
+// Child elements must be in the order of the fields. Anything that a struct does not name is an error. A field of type
+// Pos is set to the position of the element.
 
-// Pos is a place in a settings file.
+// Pos is a position in a settings file.
 type Pos struct {
 	File string
 	Line int
 }
 
-// Errorf is an error at that place.
+// Errorf returns an error with the position.
 func (p Pos) Errorf(format string, args ...any) error {
 	return fmt.Errorf("%s:%d: %s", p.File, p.Line, fmt.Sprintf(format, args...))
 }
@@ -42,22 +45,22 @@
 	children []*element
 }
 
-// maxDepth bounds nesting: the deepest document of the schema has five levels.
+// maxDepth bounds the nesting of elements. The deepest document of the schema has five levels.
 const maxDepth = 32
 
-// parse reads a file's elements with their lines.
+// parse parses a document into elements with their positions.
 func parse(file string, in io.Reader) (*element, error) {
 	dec := xml.NewDecoder(in)
 	var root *element
 	var open []*element
 	for {
-		line, _ := dec.InputPos()
+		startLine, _ := dec.InputPos()
 		token, err := dec.Token()
-		here, _ := dec.InputPos()
-		pos := Pos{file, here}
+		endLine, _ := dec.InputPos()
+		pos := Pos{file, endLine}
 		if err == io.EOF {
 			if root == nil {
-				return nil, Pos{file, line}.Errorf("no element")
+				return nil, Pos{file, startLine}.Errorf("no element")
 			}
 			return root, nil
 		}
@@ -72,16 +75,16 @@
 		case xml.StartElement:
 			e := &element{pos: pos, name: t.Name.Local, attrs: t.Copy().Attr}
 			if t.Name.Space != "" {
-				return nil, pos.Errorf("element %q is of name space %q; the settings have none", e.name, t.Name.Space)
+				return nil, pos.Errorf("element %q is in namespace %q; settings have none", e.name, t.Name.Space)
 			}
 			if len(open) == maxDepth {
-				return nil, pos.Errorf("elements nest more than %d deep", maxDepth)
+				return nil, pos.Errorf("elements are nested more than %d deep", maxDepth)
 			}
 			if len(open) > 0 {
-				up := open[len(open)-1]
-				up.children = append(up.children, e)
+				parent := open[len(open)-1]
+				parent.children = append(parent.children, e)
 			} else if root != nil {
-				return nil, pos.Errorf("a second root element %q", e.name)
+				return nil, pos.Errorf("second root element %q", e.name)
 			} else {
 				root = e
 			}
@@ -91,25 +94,25 @@
 		case xml.CharData:
 			if text := strings.TrimSpace(string(t)); text != "" {
 				before, _, _ := strings.Cut(string(t), text)
-				return nil, Pos{file, line + strings.Count(before, "\n")}.Errorf("text %.40q where none belongs", text)
+				return nil, Pos{file, startLine + strings.Count(before, "\n")}.Errorf("unexpected text %.40q", text)
 			}
 		case xml.Directive:
-			return nil, pos.Errorf("a document type declaration; the settings have none")
+			return nil, pos.Errorf("a document type declaration is not allowed")
 		}
 	}
 }
 
-// readFile reads file, whose root must be the element name, into the struct that to points to.
-func readFile(file, name string, to any) error {
+// readFile reads a file, whose root element must have the given name, into the struct that into points to.
+func readFile(file, name string, into any) error {
 	in, err := os.Open(file)
 	if err != nil {
 		return err
 	}
 	defer in.Close()
-	return read(file, in, name, to)
+	return readDocument(file, in, name, into)
 }
 
-func read(file string, in io.Reader, name string, to any) error {
+func readDocument(file string, in io.Reader, name string, into any) error {
 	root, err := parse(file, in)
 	if err != nil {
 		return err
@@ -117,21 +120,22 @@
 	if root.name != name {
 		return root.pos.Errorf("root element %q, want %q", root.name, name)
 	}
-	return root.into(reflect.ValueOf(to).Elem())
+	return root.decode(reflect.ValueOf(into).Elem())
 }
 
-func (e *element) into(v reflect.Value) error {
+// decode sets the fields of a struct from an element and checks it against the tags.
+func (e *element) decode(v reflect.Value) error {
 	attrs, seen := map[string]string{}, map[string]bool{}
 	for _, a := range e.attrs {
-		if _, twice := attrs[a.Name.Local]; twice {
+		if _, duplicate := attrs[a.Name.Local]; duplicate {
 			return e.pos.Errorf("attribute %q of %q stands twice", a.Name.Local, e.name)
 		}
 		if a.Name.Space == "xmlns" || a.Name.Space == "http://www.w3.org/2001/XMLSchema-instance" {
-			continue // a hint for editors where the schema lies
+			continue // tells editors where the schema is
 		}
 		attrs[a.Name.Local] = a.Value
 	}
-	known, places, last := map[string]reflect.Value{}, map[string]int{}, ""
+	fields, positions, last := map[string]reflect.Value{}, map[string]int{}, ""
 	for i := range v.NumField() {
 		field, to := v.Type().Field(i), v.Field(i)
 		if field.Type == reflect.TypeFor[Pos]() {
@@ -150,30 +154,30 @@
 				}
 				continue
 			}
-			if err := assign(to, text, field.Tag); err != nil {
+			if err := setField(to, text, field.Tag); err != nil {
 				return e.pos.Errorf("attribute %q of %q: %v", name, e.name, err)
 			}
 		} else if name := field.Tag.Get("e"); name != "" {
-			known[name], places[name] = to, i
+			fields[name], positions[name] = to, i
 		}
 	}
 	for _, a := range e.attrs {
-		if _, left := attrs[a.Name.Local]; left {
+		if _, unknown := attrs[a.Name.Local]; unknown {
 			return e.pos.Errorf("unknown attribute %q of %q", a.Name.Local, e.name)
 		}
 	}
 	for _, child := range e.children {
-		to, isKnown := known[child.name]
+		to, isKnown := fields[child.name]
 		if !isKnown {
 			return child.pos.Errorf("unknown element %q in %q", child.name, e.name)
 		}
-		if last != "" && places[child.name] < places[last] {
-			return child.pos.Errorf("element %q must stand before %q in %q", child.name, last, e.name)
+		if last != "" && positions[child.name] < positions[last] {
+			return child.pos.Errorf("element %q must come before %q in %q", child.name, last, e.name)
 		}
 		last = child.name
 		if to.Kind() == reflect.Slice {
 			item := reflect.New(to.Type().Elem()).Elem()
-			if err := child.into(item); err != nil {
+			if err := child.decode(item); err != nil {
 				return err
 			}
 			to.Set(reflect.Append(to, item))
@@ -188,7 +192,7 @@
 			to.Set(reflect.New(to.Type().Elem()))
 			to = to.Elem()
 		}
-		if err := child.into(to); err != nil {
+		if err := child.decode(to); err != nil {
 			return err
 		}
 	}
@@ -201,8 +205,8 @@
 		if field.Tag.Get("need") != "" {
 			return e.pos.Errorf("element %q is missing in %q", name, e.name)
 		}
-		if field.Type.Kind() == reflect.Struct { // left out: all its defaults
-			if err := (&element{pos: e.pos, name: name}).into(v.Field(i)); err != nil {
+		if field.Type.Kind() == reflect.Struct { // an element that is left out has all its defaults
+			if err := (&element{pos: e.pos, name: name}).decode(v.Field(i)); err != nil {
 				return err
 			}
 		}
@@ -210,61 +214,62 @@
 	return nil
 }
 
-func assign(to reflect.Value, text string, tag reflect.StructTag) error {
-	number := func(bits string) (float64, error) {
+// setField parses the text of an attribute into a field and checks it against the field's tag.
+func setField(field reflect.Value, text string, tag reflect.StructTag) error {
+	parseNumber := func(kind string) (float64, error) {
 		text = strings.Trim(text, " \t\r\n")
 		n, err := strconv.ParseFloat(text, 64)
 		if err != nil || math.IsInf(n, 0) || strings.Trim(text, "+-.0123456789") != "" {
-			return 0, fmt.Errorf("%.40q is not a %s", text, bits)
+			return 0, fmt.Errorf("%.40q is not a %s", text, kind)
 		}
-		for name, over := range map[string]bool{"min": false, "max": true} {
-			if bound, err := strconv.ParseFloat(tag.Get(name), 64); err == nil && (n > bound) == over && n != bound {
+		for name, isMax := range map[string]bool{"min": false, "max": true} {
+			if bound, err := strconv.ParseFloat(tag.Get(name), 64); err == nil && (n > bound) == isMax && n != bound {
 				return 0, fmt.Errorf("%s is out of range: at %s %s", text,
-					map[bool]string{false: "least", true: "most"}[over], tag.Get(name))
+					map[bool]string{false: "least", true: "most"}[isMax], tag.Get(name))
 			}
 		}
 		return n, nil
 	}
-	switch to.Interface().(type) {
-	case router.Time: // stated in milliseconds
-		n, err := number("time in milliseconds")
+	switch field.Interface().(type) {
+	case router.Time: // given in milliseconds
+		n, err := parseNumber("time in milliseconds")
 		if err != nil {
 			return err
 		}
-		to.SetInt(int64(math.Round(n * 10)))
+		field.SetInt(int64(math.Round(n * 10)))
 		return nil
 	}
-	switch to.Kind() {
+	switch field.Kind() {
 	case reflect.String:
 		if words := strings.Fields(tag.Get("words")); len(words) > 0 && !slices.Contains(words, text) {
-			return fmt.Errorf("%.40q is none of %s", text, strings.Join(words, ", "))
+			return fmt.Errorf("%.40q is not one of %s", text, strings.Join(words, ", "))
 		}
 		if text == "" {
-			return errors.New("it is empty")
+			return errors.New("must not be empty")
 		}
-		to.SetString(text)
+		field.SetString(text)
 	case reflect.Bool:
 		if text != "yes" && text != "no" {
 			return fmt.Errorf("%.40q is neither yes nor no", text)
 		}
-		to.SetBool(text == "yes")
+		field.SetBool(text == "yes")
 	case reflect.Float64:
-		n, err := number("number")
+		n, err := parseNumber("number")
 		if err != nil {
 			return err
 		}
-		to.SetFloat(n)
+		field.SetFloat(n)
 	case reflect.Int, reflect.Int64:
-		n, err := number("whole number")
+		n, err := parseNumber("whole number")
 		if err != nil {
 			return err
 		}
 		if n != math.Trunc(n) || strings.Contains(text, ".") {
 			return fmt.Errorf("%.40q is not a whole number", text)
 		}
-		to.SetInt(int64(n))
+		field.SetInt(int64(n))
 	default:
-		return fmt.Errorf("no reader for a %s", to.Type())
+		return fmt.Errorf("cannot read a field of type %s", field.Type())
 	}
 	return nil
 }
--- a/internal/settings/write.go
+++ b/internal/settings/write.go
@@ -12,8 +12,9 @@
 	"mallowlanding/router"
 )
 
-// Write writes a document that the readers of this package read back as it is; root is its element's name.
-func Write(file, root string, doc any) error {
+// WriteFile writes a document, whose root element gets the given name. The readers of this package read it back
+// unchanged.
+func WriteFile(file, root string, doc any) error {
 	var b bytes.Buffer
 	b.WriteString(xml.Header)
 	if err := appendElement(&b, root, reflect.ValueOf(doc), ""); err != nil {
@@ -43,15 +44,15 @@
 		field, value := v.Type().Field(i), v.Field(i)
 		children = children || field.Tag.Get("e") != ""
 		attr := field.Tag.Get("a")
-		_, defaults := field.Tag.Lookup("def")
-		if attr == "" || value.IsZero() && !defaults && field.Tag.Get("need") == "" {
+		_, hasDefault := field.Tag.Lookup("def")
+		if attr == "" || value.IsZero() && !hasDefault && field.Tag.Get("need") == "" {
 			continue
 		}
-		text, err := attrText(value)
+		text, err := formatAttr(value)
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(b, " %s=\"%s\"", attr, escape(text))
+		fmt.Fprintf(b, " %s=\"%s\"", attr, escapeXML(text))
 	}
 	if !children {
 		b.WriteString("/>\n")
@@ -69,13 +70,13 @@
 	return nil
 }
 
-func escape(text string) string {
+func escapeXML(text string) string {
 	var b bytes.Buffer
-	_ = xml.EscapeText(&b, []byte(text)) // a buffer takes all
+	_ = xml.EscapeText(&b, []byte(text)) // a buffer never fails
 	return b.String()
 }
 
-func attrText(v reflect.Value) (string, error) {
+func formatAttr(v reflect.Value) (string, error) {
 	if t, is := v.Interface().(router.Time); is {
 		return strings.TrimSuffix(strconv.FormatFloat(float64(t)/10, 'f', 1, 64), ".0"), nil
 	}
@@ -92,12 +93,12 @@
 	case reflect.Float64:
 		return strconv.FormatFloat(v.Float(), 'f', -1, 64), nil
 	}
-	return "", fmt.Errorf("no writer for a %s", v.Type())
+	return "", fmt.Errorf("cannot write a field of type %s", v.Type())
 }
 
-// ElementText is a part of a document as XML.
-func ElementText(name string, part any) (string, error) {
+// ElementText returns the XML of an element with the given name and value, indented by one level.
+func ElementText(name string, value any) (string, error) {
 	var b bytes.Buffer
-	err := appendElement(&b, name, reflect.ValueOf(part), "  ")
+	err := appendElement(&b, name, reflect.ValueOf(value), "  ")
 	return b.String(), err
 }
--- a/internal/standin/model.go
+++ b/internal/standin/model.go
@@ -282,10 +282,10 @@
 		}
 		return
 	}
-	if j.over || m.set.Machine.Stops == "nothing" || m.now < m.hungUntil {
+	if j.over || m.set.Machine.CancelStops == "nothing" || m.now < m.hungUntil {
 		return
 	}
-	if m.drop(j, "called off before it began") || m.set.Machine.Stops == "waiting" || !j.begun || j.ran {
+	if m.drop(j, "called off before it began") || m.set.Machine.CancelStops == "waiting" || !j.begun || j.ran {
 		return
 	}
 	if at := slices.Index(m.line, j); at >= 0 { // it had a lane and waited for a core
@@ -315,7 +315,7 @@
 
 // unwanted: nobody waits for the load any more.
 func (m *Model) unwanted(fn *copies) bool {
-	return m.set.Machine.Stops != "nothing" && len(fn.waiting) == 0 && len(fn.holds) == 0
+	return m.set.Machine.CancelStops != "nothing" && len(fn.waiting) == 0 && len(fn.holds) == 0
 }
 
 func (m *Model) finish(j *Job, a Answer) {
@@ -446,12 +446,12 @@
 
 // startLoad begins a load of one copy, or puts it in the line of loads; false: there is no room.
 func (m *Model) startLoad(fn *copies) bool {
-	if m.loads >= m.set.Machine.LoadsAtOnce && len(m.loadLine) >= 2*m.set.Machine.LoadsAtOnce ||
+	if m.loads >= m.set.Machine.MaxLoads && len(m.loadLine) >= 2*m.set.Machine.MaxLoads ||
 		!m.makeRoom(fn.memory) {
 		return false
 	}
 	fn.loading++
-	if m.loads >= m.set.Machine.LoadsAtOnce {
+	if m.loads >= m.set.Machine.MaxLoads {
 		m.loadLine = append(m.loadLine, fn)
 		return true
 	}
@@ -477,9 +477,9 @@
 
 func (m *Model) loadFails() float64 {
 	if m.now < m.failingUntil {
-		return max(m.failing, m.set.Machine.LoadFails)
+		return max(m.failing, m.set.Machine.LoadFailShare)
 	}
-	return m.set.Machine.LoadFails
+	return m.set.Machine.LoadFailShare
 }
 
 func (m *Model) loaded(fn *copies, ok bool) {
@@ -513,7 +513,7 @@
 }
 
 func (m *Model) nextLoads() {
-	for len(m.loadLine) > 0 && m.loads < m.set.Machine.LoadsAtOnce {
+	for len(m.loadLine) > 0 && m.loads < m.set.Machine.MaxLoads {
 		fn := m.loadLine[0]
 		m.loadLine = m.loadLine[1:]
 		if len(fn.waiting) == 0 && len(fn.holds) == 0 { // nothing waits for it any more
@@ -540,10 +540,10 @@
 // makeRoom unloads idle copies, the one idle longest first, until need fits.
 func (m *Model) makeRoom(need float64) bool {
 	held, pinned := m.memory()
-	if pinned+need > m.set.Machine.Memory {
+	if pinned+need > m.set.Machine.MemoryMB {
 		return false
 	}
-	for held+need > m.set.Machine.Memory {
+	for held+need > m.set.Machine.MemoryMB {
 		var oldest *copies
 		for _, name := range m.order {
 			if fn := m.fns[name]; fn.idle() > 0 && (oldest == nil || fn.lastUse < oldest.lastUse) {
@@ -596,7 +596,7 @@
 	}
 	_, pinned := m.memory()
 	values := []float64{float64(m.set.Machine.Cores-m.free) / float64(m.set.Machine.Cores),
-		pinned / m.set.Machine.Memory, float64(m.jobs), float64(m.loads + len(m.loadLine))}
+		pinned / m.set.Machine.MemoryMB, float64(m.jobs), float64(m.loads + len(m.loadLine))}
 	m.history = append(m.history, reportAt{m.now, values})
 	if m.now >= m.lateUntil {
 		m.reportLate = 0
@@ -630,8 +630,8 @@
 // Overfull tells where the worker holds more than it has: memory, cores, or lanes of a function. Empty: nowhere. It is
 // for tests of the model itself.
 func (m *Model) Overfull() string {
-	if held, _ := m.memory(); held > m.set.Machine.Memory {
-		return fmt.Sprintf("holds %.0f of %.0f MB", held, m.set.Machine.Memory)
+	if held, _ := m.memory(); held > m.set.Machine.MemoryMB {
+		return fmt.Sprintf("holds %.0f of %.0f MB", held, m.set.Machine.MemoryMB)
 	}
 	if m.free < 0 || m.free > m.set.Machine.Cores {
 		return fmt.Sprintf("%d of %d cores are free", m.free, m.set.Machine.Cores)
--- a/internal/standin/roster.go
+++ b/internal/standin/roster.go
@@ -275,12 +275,12 @@
 // Fetch takes the usual time, longer by its crowd: past at-once fetches the store's pace is shared, and thrash takes
 // a further part of it for each of them.
 func (s *Shelf) Fetch(now, usual router.Time, done func(ok bool)) {
-	if s.inHand >= s.set.Refuses {
+	if s.inHand >= s.set.RefuseFrom {
 		done(false)
 		return
 	}
 	s.inHand++
-	crowd := math.Max(1, float64(s.inHand)/float64(s.set.AtOnce))
+	crowd := math.Max(1, float64(s.inHand)/float64(s.set.MaxConcurrent))
 	took := float64(max(usual, s.set.Mean)) * crowd * (1 + s.set.Thrash*(crowd-1))
 	s.timers.Set(new(eventloop.Timer), now+router.Time(took), func(router.Time) {
 		s.inHand--
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -209,7 +209,7 @@
 }
 
 func (w *worker) lookAt(now router.Time) {
-	every := min(w.set.Machine.ReportEvery, eventloop.FromDuration(lookEvery))
+	every := min(w.set.Machine.ReportInterval, eventloop.FromDuration(lookEvery))
 	w.timers.Set(&w.look, now+every, func(now router.Time) {
 		w.model.Begin(now)
 		w.model.Look()
