--- a/internal/certs/keys.go
+++ b/internal/certs/keys.go
@@ -1,5 +1,5 @@
-// Package certs loads certificates and keys for TLS. They are checked completely before use and reloaded when their files
-// change, without dropping connections; a warning is logged before they expire.
+// Package certs loads certificates and keys for TLS. They are checked completely before use and reloaded when their
+// files change, without dropping connections; a warning is logged before they expire.
 package certs
 
 import (
@@ -17,8 +17,8 @@
 	"github.com/rs/zerolog"
 )
 
-// Files are the paths of the certificate chain, of its key, and of the authorities that must have signed the certificates
-// of clients. If ClientCA is empty, clients need no certificate.
+// Files are the paths of the certificate chain, of its key, and of the authorities that must have signed the
+// certificates of clients. If ClientCA is empty, clients need no certificate.
 type Files struct{ Cert, Key, ClientCA string }
 
 // Bundle is the valid content of the files at one time.
@@ -115,8 +115,8 @@
 	}
 }
 
-// ReloadIfChanged reloads changed files if they are valid. New connections use the new certificates; established ones go
-// on. It reports whether new certificates are in use, and logs the warning of Watch when it is due.
+// ReloadIfChanged reloads changed files if they are valid. New connections use the new certificates; established ones
+// go on. It reports whether new certificates are in use, and logs the warning of Watch when it is due.
 func (s *Store) ReloadIfChanged(now time.Time, warnBefore time.Duration) bool {
 	reloaded := false
 	if stamps := s.stamps(); stamps != s.lastStamps {
@@ -158,8 +158,8 @@
 	Methods  []string // allowed methods; empty: all
 }
 
-// Authorize checks whether the client may call a method for a customer, and sets an empty customer to the client's own. A
-// nil client may call all methods for all customers.
+// Authorize checks whether the client may call a method for a customer, and sets an empty customer to the client's own.
+// A nil client may call all methods for all customers.
 func (c *Client) Authorize(method string, customer *string) error {
 	if c == nil {
 		return nil
@@ -177,8 +177,8 @@
 // ErrUnknownClient means that the name of a certificate is not on the list of clients.
 var ErrUnknownClient = errors.New("the certificate's name is on no list")
 
-// FindClient returns the client that a verified certificate names. It returns nil, which permits everything, if the list
-// is empty or there is no certificate.
+// FindClient returns the client that a verified certificate names. It returns nil, which permits everything, if the
+// list is empty or there is no certificate.
 func FindClient(list []Client, state *tls.ConnectionState) (*Client, error) {
 	if len(list) == 0 || state == nil || len(state.PeerCertificates) == 0 {
 		return nil, nil
--- a/internal/configclient/steer.go
+++ b/internal/configclient/steer.go
@@ -109,7 +109,7 @@
 	if initial.Saved.Version > 0 {
 		current = configupdate.VersionRef{Version: configupdate.Version(initial.Saved.Version),
 			Digest: configdiff.Digest(initial.Saved.Text)}
-		if _, resources, err := configdiff.Canonical("kept", initial.Saved.Text); err == nil { // cannot fail: it was in force
+		if _, resources, err := configdiff.Canonical("kept", initial.Saved.Text); err == nil { // it was in force
 			c.resources = resources
 		}
 	}
@@ -310,7 +310,8 @@
 	resources := configdiff.Patch(base, set, removed)
 	text := settings.ResourcesText(resources)
 	o.DigestOK = configdiff.Digest(text) == resp.Digest
-	if previous := c.offers[o.Version]; previous == nil || previous.change == nil { // a version that is being applied is not replaced
+	// a version that is being applied is not replaced
+	if previous := c.offers[o.Version]; previous == nil || previous.change == nil {
 		c.offers[o.Version] = &offer{resources: resources, text: text}
 	}
 	c.follower.HandleOffer(o)
--- a/internal/configupdate/adopt.go
+++ b/internal/configupdate/adopt.go
@@ -1,7 +1,7 @@
 // Package configupdate is the state machine of a follower of streamed configuration. It decides what to do with each
 // version that it is offered: check, apply and accept it, refuse it, queue it behind another, or change only the number
-// of the version in force. It does no I/O, starts no goroutines and reads no clock; package configclient has the streams,
-// files and sockets. docs/design/streamed-configuration.md has the states.
+// of the version in force. It does no I/O, starts no goroutines and reads no clock; package configclient has the
+// streams, files and sockets. docs/design/streamed-configuration.md has the states.
 package configupdate
 
 import "fmt"
@@ -93,8 +93,8 @@
 	f.actions.SendStatus(f.current, f.refused.Version, f.saved, false)
 }
 
-// HandleDisconnect handles the end of the stream. Processing of the current offer goes on; the service learns its result
-// from the first message of the next stream, or on it.
+// HandleDisconnect handles the end of the stream. Processing of the current offer goes on; the service learns its
+// result from the first message of the next stream, or on it.
 func (f *Follower) HandleDisconnect() {
 	f.connected, f.orphaned, f.hasPending = false, true, false
 }
--- a/internal/configupdate/adopt_test.go
+++ b/internal/configupdate/adopt_test.go
@@ -34,8 +34,8 @@
 	s.record("tell %d refused=%d kept=%t", current.Version, refused, saved)
 }
 
-// The scenarios of testdata/follower.txt, each below a line '== NAME'. The follower starts with version 3 of digest c in
-// force and saved.
+// The scenarios of testdata/follower.txt, each below a line '== NAME'. The follower starts with version 3 of digest c
+// in force and saved.
 //
 //	connected | lost
 //	offer NONCE VERSION DIGEST [base=V] [unsound]
@@ -214,9 +214,9 @@
 	sim.statuses++
 }
 
-// For random events at the service, the stream and the disk, and random crashes: only valid versions are applied, version
-// numbers never go back, each response has one answer, what was reported as saved is on disk, and once no event is left
-// the follower runs the newest version or has refused it.
+// For random events at the service, the stream and the disk, and random crashes: only valid versions are applied,
+// version numbers never go back, each response has one answer, what was reported as saved is on disk, and once no event
+// is left the follower runs the newest version or has refused it.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := &simulation{t: t, texts: map[Version]string{0: ""}, bad: map[Version]bool{}, answers: map[string]int{}}
@@ -309,7 +309,8 @@
 	})
 }
 
-// TestMain fixes the seed of the random tests, unless the command line gives one, so that every run tests the same cases.
+// TestMain fixes the seed of the random tests, unless the command line gives one, so that every run tests the same
+// cases.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
--- a/internal/lastgood/lastgood.go
+++ b/internal/lastgood/lastgood.go
@@ -1,6 +1,6 @@
 // Package lastgood saves the last good version of a configuration on disk, and the one before it. After a crash at any
-// moment, Load finds a version that is at least as new as the last one whose Save succeeded. A file has one header line,
-// followed by the text:
+// moment, Load finds a version that is at least as new as the last one whose Save succeeded. A file has one header
+// line, followed by the text:
 //
 //	mallowlanding-configuration VERSION SAVED_UNIX_MS CHECKSUM
 //
@@ -67,15 +67,16 @@
 	Text    string
 }
 
-// Store is the file of one front end. PATH.before next to it has the version before, and PATH.new exists while a version
-// is being written.
+// Store is the file of one front end. PATH.before next to it has the version before, and PATH.new exists while a
+// version is being written.
 type Store struct {
 	FS   FS
 	Path string
 }
 
 // Save saves a version. Once it has returned nil, Load returns this version or a later one, whatever happens to the
-// process or the machine, as far as fsync can be trusted. After an error, Load returns this version or the previous one.
+// process or the machine, as far as fsync can be trusted. After an error, Load returns this version or the previous
+// one.
 func (s *Store) Save(saved Saved) error {
 	f, err := s.FS.Create(s.Path + ".new")
 	if err != nil {
--- a/internal/lastgood/lastgood_test.go
+++ b/internal/lastgood/lastgood_test.go
@@ -21,8 +21,8 @@
 type inode struct{ synced, written []byte }
 
 // crashingFS is a file system that crashes after a number of operations. After a crash, any part of what was not synced
-// may be on disk: of a file's content a prefix, possibly with a flipped bit, and of renames and creations any subset, in
-// their order.
+// may be on disk: of a file's content a prefix, possibly with a flipped bit, and of renames and creations any subset,
+// in their order.
 type crashingFS struct {
 	rng       *rand.Rand
 	opsLeft   int // operations until the crash; negative: never
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -1,7 +1,7 @@
 // Package rollout is the state machine of a control service: the numbered versions, which follower runs which, and how
-// far the rollout of the newest has come. It decides which version each follower is to run, when a stage is complete, and
-// when to roll back. It does no I/O, starts no goroutines and reads no clock: the same events in the same order give the
-// same state, so instances that replicate the events have equal states.
+// far the rollout of the newest has come. It decides which version each follower is to run, when a stage is complete,
+// and when to roll back. It does no I/O, starts no goroutines and reads no clock: the same events in the same order
+// give the same state, so instances that replicate the events have equal states.
 package rollout
 
 import (
@@ -105,8 +105,8 @@
 	forgetAfter = Millis(24 * 60 * 60 * 1000)
 )
 
-// maxTexts is how many of the newest versions keep their text. Operators look only at recent versions and roll back only
-// to them.
+// maxTexts is how many of the newest versions keep their text. Operators look only at recent versions and roll back
+// only to them.
 const maxTexts = 100
 
 // New returns a state without versions and followers.
@@ -146,8 +146,8 @@
 	}
 }
 
-// Rollback makes all followers run the text of version to, which was accepted before, under a new number and in a single
-// stage; version numbers never go back. 0 stands for the version that was accepted before the stable one.
+// Rollback makes all followers run the text of version to, which was accepted before, under a new number and in a
+// single stage; version numbers never go back. 0 stands for the version that was accepted before the stable one.
 func (s *State) Rollback(now Millis, to Version, by, note string) (Version, error) {
 	if to == 0 {
 		for v := s.Stable; v > 0 && to == 0; v-- {
@@ -268,7 +268,8 @@
 	return accept, ""
 }
 
-// Tick advances the time to now: it deletes followers that are away for too long and takes the next step of the rollout.
+// Tick advances the time to now: it deletes followers that are away for too long and takes the next step of the
+// rollout.
 func (s *State) Tick(now Millis) {
 	for name, f := range s.Followers {
 		if now-f.LastSeen > forgetAfter {
@@ -383,8 +384,8 @@
 }
 
 // okDropReason returns why the candidate is to be withdrawn for its ok share, or "". It compares the ok share of the
-// followers that run the candidate with their own ok share before it, less the drop at the other followers over the same
-// time: a drop that affects all followers is not caused by the version.
+// followers that run the candidate with their own ok share before it, less the drop at the other followers over the
+// same time: a drop that affects all followers is not caused by the version.
 func (s *State) okDropReason() string {
 	var before, after, otherBefore, otherAfter Counters
 	add := func(to *Counters, from, until Counters) {
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -13,8 +13,8 @@
 	"pgregory.net/rapid"
 )
 
-// The scenarios of testdata/rollouts.txt, each below a line '== NAME'. They run with stages 0.25 and 1, a hold of 100 ms,
-// an answer timeout of 1000 ms, a live timeout of 500 ms and a minimum of ten RPCs for a comparison.
+// The scenarios of testdata/rollouts.txt, each below a line '== NAME'. They run with stages 0.25 and 1, a hold of 100
+// ms, an answer timeout of 1000 ms, a live timeout of 500 ms and a minimum of ten RPCs for a comparison.
 //
 //	followers N                     followers f0 to fN-1 report that they run no version
 //	at MS                           advances the time to MS in ticks of 10 ms; live followers report every 100 ms
@@ -181,9 +181,9 @@
 	return nil
 }
 
-// For random events in random order: version numbers only rise, a follower's target never falls below the version that it
-// runs, and a good version that is submitted last is accepted by all followers. All of this also holds for a state that
-// was restored from a snapshot.
+// For random events in random order: version numbers only rise, a follower's target never falls below the version that
+// it runs, and a good version that is submitted last is accepted by all followers. All of this also holds for a state
+// that was restored from a snapshot.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := Settings{Stages: []float64{0.3, 1}, Hold: 20, AnswerTimeout: 300, LiveTimeout: 200, MaxOKDrop: 0.2, MinRPCs: 50}
@@ -284,7 +284,8 @@
 	})
 }
 
-// TestMain fixes the seed of the random tests, unless the command line gives one, so that every run tests the same cases.
+// TestMain fixes the seed of the random tests, unless the command line gives one, so that every run tests the same
+// cases.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
--- a/internal/settings/configuration.go
+++ b/internal/settings/configuration.go
@@ -60,8 +60,8 @@
 	Socket string `a:"socket" need:"yes"`
 }
 
-// Listener is a further socket for clients, besides the front end's own. FRONT in its path is replaced by the name of the
-// front end.
+// Listener is a further socket for clients, besides the front end's own. FRONT in its path is replaced by the name of
+// the front end.
 type Listener struct {
 	Pos
 	Name     string `a:"name" need:"yes"`
@@ -254,8 +254,8 @@
 	return &out
 }
 
-// alignByName returns the current items at the indexes that their names have in known; new items follow. Known items that
-// are not among the current ones are marked by markRemoved.
+// alignByName returns the current items at the indexes that their names have in known; new items follow. Known items
+// that are not among the current ones are marked by markRemoved.
 func alignByName[T any](known, current []T, name func(*T) string, markRemoved func(*T)) []T {
 	out, indexes := slices.Clone(known), map[string]int{}
 	for i := range out {
--- a/internal/settings/experiment.go
+++ b/internal/settings/experiment.go
@@ -10,7 +10,8 @@
 	"strings"
 )
 
-// Experiment is a plan of runs: every combination of scenarios (days), policies and varied settings, with the same seeds.
+// Experiment is a plan of runs: every combination of scenarios (days), policies and varied settings, with the same
+// seeds.
 type Experiment struct {
 	Pos
 	Name      string    `a:"name" need:"yes"`
--- a/internal/settings/schema.go
+++ b/internal/settings/schema.go
@@ -11,8 +11,9 @@
 	"mallowlanding/router"
 )
 
-// Schema returns the XML schema of all documents, generated from the struct tags by which they are read. Only the readers
-// check rules that concern more than one element: distinct names, references, and values that must fit together.
+// Schema returns the XML schema of all documents, generated from the struct tags by which they are read. Only the
+// readers check rules that concern more than one element: distinct names, references, and values that must fit
+// together.
 func Schema() []byte {
 	s := &schemaWriter{written: map[reflect.Type]bool{}}
 	s.b.WriteString(xml.Header)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -175,8 +175,8 @@
 	Allow          []Allow     `e:"allow"`
 }
 
-// Allow permits clients by the user and group ids of their processes. Without any Allow, every process that can open the
-// socket is permitted.
+// Allow permits clients by the user and group ids of their processes. Without any Allow, every process that can open
+// the socket is permitted.
 type Allow struct {
 	Pos
 	UID       int64  `a:"uid" def:"-1" min:"-1" max:"4294967295"`
@@ -502,8 +502,8 @@
 // ReportValues are the names of the values in a worker's load report, in their order on the wire.
 var ReportValues = []string{settingkeys.Util, settingkeys.Pinned, settingkeys.InHand, settingkeys.Loads}
 
-// FrontEndCount returns how many front ends share the workers: as the service says or, if it does not, as the front end's
-// own document says.
+// FrontEndCount returns how many front ends share the workers: as the service says or, if it does not, as the front
+// end's own document says.
 func (f *FrontEnd) FrontEndCount() int { return cmp.Or(f.Service.Shared.FrontEnds, f.FrontEnds) }
 
 // RouterSettings returns the settings of the router; package settingkeys has their names.
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// The schema in the repository must be the one that the program prints, and an independent validator must agree with the
-// readers on every file.
+// The schema in the repository must be the one that the program prints, and an independent validator must agree with
+// the readers on every file.
 func TestSchema(t *testing.T) {
 	const file = "../../schema/mallowlanding.xsd"
 	text, err := os.ReadFile(file)
