--- a/internal/gateway/configured.go
+++ b/internal/gateway/configured.go
@@ -151,7 +151,7 @@
 	}
 	c.listeners[c.socketPath(l)] = nl
 	var serve func() error
-	switch l.Front {
+	switch l.Protocol {
 	case "json-rpc":
 		serve = c.server.AddListener(c.clientsCtx, nl)
 	case "http":
@@ -276,7 +276,7 @@
 func (ch *configChange) Apply() error {
 	c, frontEnd := ch.live, ch.frontEnd
 	routerSettings, methods, customers := frontEnd.RouterSettings(), frontEnd.Service.EngineMethods(), frontEnd.Service.CustomerNames()
-	function, watcherOptions := frontEnd.Service.FunctionFor(), c.watcherOptions(frontEnd, ch.config)
+	function, watcherOptions := frontEnd.Service.FunctionSpecs(), c.watcherOptions(frontEnd, ch.config)
 	var models []kserve.Model
 	if c.kserve != nil {
 		models = modelsOf(frontEnd)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -141,8 +141,8 @@
 	loop := eventloop.NewLoop()
 	live := newLiveConfig(initial, loop, log)
 	f := live.current.Load()
-	eng := engine.New(engine.Options{Settings: f.RouterSettings(), Seed: f.Seed, Now: loop.Now(), AnswerMargin: f.Clients.Margin,
-		CancelWait: f.Clients.CallOff,
+	eng := engine.New(engine.Options{Settings: f.RouterSettings(), Seed: f.Seed, Now: loop.Now(), AnswerMargin: f.Clients.AnswerMargin,
+		CancelWait: f.Clients.CancelWait,
 		Log:        func(text string) { log.Info().Str("from", "module").Msg(text) }})
 
 	// shutdown order: the clients' side once every RPC is answered, then the other goroutines, the event loop last
@@ -154,16 +154,16 @@
 	defer cancelLoop()
 
 	linkSet := workerlink.New(backgroundCtx, loop, eng, workerlink.Options{FrontEnd: f.Name,
-		ConnectTimeout: eventloop.ToDuration(f.Service.CallOuts.ConnectTimeOut), ValueBytes: f.Workers.ValueBytes,
+		ConnectTimeout: eventloop.ToDuration(f.Service.CallOuts.ConnectTimeout), ValueBytes: f.Workers.ValueBytes,
 		QueuedBytes: f.Workers.SendBytes, RedialMin: eventloop.ToDuration(f.Workers.RedialMin),
 		RedialMax: eventloop.ToDuration(f.Workers.RedialMax), WrapLink: hooks.Link, Log: log})
 	watcher := rosterwatch.New(loop, eng, linkSet, live.watcherOptions(f, live.savedConfig))
 	dispatcher := dispatch.New(eng, dispatch.Options{Methods: f.Service.EngineMethods(), Customers: f.Service.CustomerNames(),
-		FunctionSpec: f.Service.FunctionFor(), AnswerMargin: f.Clients.Margin, Limits: f.LimitSettings(), WrapClient: hooks.Client})
+		FunctionSpec: f.Service.FunctionSpecs(), AnswerMargin: f.Clients.AnswerMargin, Limits: f.LimitSettings(), WrapClient: hooks.Client})
 	server := clients.New(loop, dispatcher, clients.Options{
-		Limits: clients.Limits{Connections: f.Clients.Connections, OpenRPCs: f.Clients.Open,
+		Limits: clients.Limits{Connections: f.Clients.MaxConnections, OpenRPCs: f.Clients.ConnOpen,
 			ValueBytes: f.Clients.ValueBytes, AnswerBytes: f.Clients.AnswerBytes,
-			WriteTimeout: eventloop.ToDuration(f.Clients.WriteTimeOut)},
+			WriteTimeout: eventloop.ToDuration(f.Clients.WriteTimeout)},
 		RewriteAnswer: hooks.Answer, Allow: accessRules(f), Status: func() []byte { return status(f, eng, dispatcher, live) }, Log: log})
 
 	var loopGroup, backgroundGroup, clientsGroup errgroup.Group
@@ -183,7 +183,7 @@
 		failures <- err
 	}
 	live.start(backgroundCtx, clientsCtx, &backgroundGroup, &clientsGroup, eng, dispatcher, watcher, server, kserveServer)
-	log.Info().Str("socket", f.Clients.Socket).Int("number", f.Number).Int("of", f.Of).Msg("front end takes RPCs")
+	log.Info().Str("socket", f.Clients.Socket).Int("number", f.Number).Int("of", f.FrontEnds).Msg("front end takes RPCs")
 	if ready != nil {
 		ready()
 	}
@@ -278,7 +278,7 @@
 			return nil, nil, k.TLS.Errorf("%v", err)
 		}
 		backgroundGroup.Go(func() error {
-			store.Watch(ctx, eventloop.ToDuration(k.TLS.Reload), time.Duration(k.TLS.WarnDays*24*float64(time.Hour)))
+			store.Watch(ctx, eventloop.ToDuration(k.TLS.ReloadInterval), time.Duration(k.TLS.WarnDays*24*float64(time.Hour)))
 			return nil
 		})
 		opts.Keys = store
@@ -329,7 +329,7 @@
 	for i := range f.KServe.Models {
 		m := &f.KServe.Models[i]
 		out = append(out, kserve.Model{Name: m.Name, Version: m.Version, Platform: m.Platform,
-			Method: f.KServe.MethodOf(&f.Service, m), Function: m.FunctionOf(), Inputs: tensorMetas(m.Inputs), Outputs: tensorMetas(m.Outputs)})
+			Method: f.KServe.MethodIndex(&f.Service, m), Function: m.FunctionName(), Inputs: tensorMetas(m.Inputs), Outputs: tensorMetas(m.Outputs)})
 	}
 	return out
 }
--- a/internal/gateway/status.go
+++ b/internal/gateway/status.go
@@ -46,7 +46,7 @@
 func status(frontEnd *settings.FrontEnd, eng *engine.Engine, dispatcher *dispatch.Dispatcher, live *liveConfig) []byte {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	s := Status{Name: frontEnd.Name, Number: frontEnd.Number, Of: frontEnd.Of, Counts: eng.Counts(), Waiting: dispatcher.Waiting(), Leaving: dispatcher.Draining(),
+	s := Status{Name: frontEnd.Name, Number: frontEnd.Number, Of: frontEnd.FrontEnds, Counts: eng.Counts(), Waiting: dispatcher.Waiting(), Leaving: dispatcher.Draining(),
 		Process: Process{Allocated: m.TotalAlloc, Allocations: m.Mallocs, Heap: m.HeapAlloc, Collections: m.NumGC}}
 	if live.configClient != nil {
 		s.Config = &Config{Status: live.configClient.Status(), AppliedUs: float64(live.lastApply.Load()) / 1000}
