--- a/internal/emulate/client.go
+++ b/internal/emulate/client.go
@@ -48,7 +48,7 @@
 		c.count(scenario.Lost)
 		return
 	}
-	f := w.fronts[scenario.Front(c.Rand(), len(w.fronts), func(i int) time.Duration {
+	f := w.fronts[scenario.ChooseFrontEnd(c.Rand(), len(w.fronts), func(i int) time.Duration {
 		if w.fronts[i].diedAt == 0 {
 			return -1
 		}
@@ -139,7 +139,7 @@
 	t.ended = true
 	w, c := t.client.w, t.client
 	w.events.Stop(&t.timer)
-	wait, again := c.Again(w.elapsed(), outcome, sent, retryAfter)
+	wait, again := c.Retry(w.elapsed(), outcome, sent, retryAfter)
 	if !again {
 		c.count(outcome)
 		return
@@ -165,7 +165,7 @@
 	}
 	c.w.rpcs = append(c.w.rpcs, RPC{N: int32(c.arrival.N), Method: c.Method.Name, Function: c.arrival.Function, DueMs: c.arrival.At.Seconds() * 1000,
 		TookMs: float64(c.w.now-c.w.start-eventloop.FromDuration(c.arrival.At)) / 10, Outcome: outcome, Tries: int32(c.tries)})
-	c.w.book.Count(c.Method, c.arrival.At, outcome, eventloop.ToDuration(c.w.now-c.w.start-eventloop.FromDuration(c.arrival.At)))
+	c.w.tallies.Count(c.Method, c.arrival.At, outcome, eventloop.ToDuration(c.w.now-c.w.start-eventloop.FromDuration(c.arrival.At)))
 }
 
 // OK implements dispatch.Responder.
--- a/internal/emulate/emulate_test.go
+++ b/internal/emulate/emulate_test.go
@@ -124,8 +124,8 @@
 			for _, b := range r.Audit.Breaks {
 				t.Errorf("rule %d, %s: %s", b.Rule, b.RPC, b.Text)
 			}
-			if r.Audit.Answers < 1000 || r.Kept() < 0.5 {
-				t.Errorf("%d answers, %.3f kept", r.Audit.Answers, r.Kept())
+			if r.Audit.Answers < 1000 || r.GainShare() < 0.5 {
+				t.Errorf("%d answers, %.3f kept", r.Audit.Answers, r.GainShare())
 			}
 		})
 	}
--- a/internal/emulate/trouble.go
+++ b/internal/emulate/trouble.go
@@ -125,11 +125,11 @@
 		every := router.Time(10000 / max(t.Size, 0.001))
 		for n := 0; router.Time(n+1)*every < t.For; n++ {
 			bad := rng.Float64() < t.Part
-			text, err := scenario.Configuration(w.scenario, "/run", n, bad, rng)
+			text, err := scenario.ChangedConfiguration(w.scenario, "/run", n, bad, rng)
 			w.after(router.Time(n+1)*every, func() { w.distributeConfiguration(text, err) })
 		}
 	case "config-move":
-		w.distributeConfiguration(scenario.Move(w.scenario))
+		w.distributeConfiguration(scenario.ConfigurationOfOtherShape(w.scenario))
 	case "crash":
 		w.crashWorkers(w.sampleWorkers(t.Part, rng), t.For)
 	case "ageing":
--- a/internal/emulate/world.go
+++ b/internal/emulate/world.go
@@ -52,7 +52,7 @@
 	rosterVersion uint64
 	nextWorker    int // number in the name of the next replacement
 	records       []record.Record
-	book          *scenario.Book
+	tallies       *scenario.Tallies
 	messageLosses []messageLoss
 	newRouter     routing.Factory // nil: the program's own router
 	rpcs          []RPC
@@ -106,7 +106,7 @@
 	begin := time.Now()
 	n := s.Fleet.Network
 	w := &world{scenario: s, now: epoch, networkRand: rand.New(rand.NewSource(s.Seed ^ 0x6e6574)), workers: map[string]*worker{}, byID: map[router.WorkerID]*worker{},
-		roster: map[string]*rosterEntry{}, book: scenario.NewBook(s)}
+		roster: map[string]*rosterEntry{}, tallies: scenario.NewTallies(s)}
 	newRouter, err := baseline.Factory(policy, w.oracleView)
 	if err != nil {
 		return nil, err
@@ -150,7 +150,7 @@
 		w.now = max(w.now, due)
 		w.events.Fire(w.now)
 	}
-	return &Result{Outcome: scenario.Judge(s, w.records, w.book, ""), Records: w.records, RPCs: w.rpcs, Inspections: w.inspections, OverLimit: w.overLimit, Events: events, Elapsed: time.Since(begin)}, nil
+	return &Result{Outcome: scenario.Evaluate(s, w.records, w.tallies, ""), Records: w.records, RPCs: w.rpcs, Inspections: w.inspections, OverLimit: w.overLimit, Events: events, Elapsed: time.Since(begin)}, nil
 }
 
 func (w *world) allWorkers() (out []*worker) {
--- a/internal/rehearse/config.go
+++ b/internal/rehearse/config.go
@@ -41,7 +41,7 @@
 	every := time.Duration(float64(time.Second) / max(t.Size, 0.001))
 	for n := 0; sleep(ctx, every); n++ {
 		bad := rng.Float64() < t.Part
-		text, err := scenario.Configuration(m.f.s, m.f.dir, n, bad, rng)
+		text, err := scenario.ChangedConfiguration(m.f.s, m.f.dir, n, bad, rng)
 		if err != nil {
 			return err
 		}
@@ -72,7 +72,7 @@
 		return err
 	}
 	defer c.Close()
-	text, err := scenario.Move(m.f.s)
+	text, err := scenario.ConfigurationOfOtherShape(m.f.s)
 	if err != nil {
 		return err
 	}
--- a/internal/rehearse/load.go
+++ b/internal/rehearse/load.go
@@ -42,7 +42,7 @@
 	start time.Time
 
 	mu      sync.Mutex
-	book    *scenario.Book
+	book    *scenario.Tallies
 	pools   []*pool
 	dead    []time.Time // since when a front end is known to be dead
 	open    sync.WaitGroup
@@ -63,7 +63,7 @@
 }
 
 func newCallers(s *settings.Scenario, f *fleet, keep func(record.Record)) (*callers, error) {
-	c := &callers{s: s, fleet: f, keep: keep, book: scenario.NewBook(s), lookups: map[string]*settings.Method{},
+	c := &callers{s: s, fleet: f, keep: keep, book: scenario.NewTallies(s), lookups: map[string]*settings.Method{},
 		dead: make([]time.Time, s.Fleet.FrontEnds)}
 	for i := range s.Service.Methods {
 		m := &s.Service.Methods[i]
@@ -127,7 +127,7 @@
 func (c *callers) pick(rng *rand.Rand) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return scenario.Front(rng, len(c.dead), func(i int) time.Duration {
+	return scenario.ChooseFrontEnd(rng, len(c.dead), func(i int) time.Duration {
 		if c.dead[i].IsZero() {
 			return -1
 		}
@@ -184,7 +184,7 @@
 		var sent bool
 		var comeBack time.Duration
 		outcome, sent, comeBack = c.try(ctx, c.pick(cl.Rand()), fmt.Sprintf("%d/%d", a.N, try), cl, a, span, repeat)
-		wait, again := cl.Again(time.Since(c.start), outcome, sent, comeBack)
+		wait, again := cl.Retry(time.Since(c.start), outcome, sent, comeBack)
 		if !again {
 			break
 		}
--- a/internal/rehearse/rehearse.go
+++ b/internal/rehearse/rehearse.go
@@ -34,7 +34,7 @@
 		return err
 	}
 	o.Print(out, s)
-	if len(o.Audit.Breaks) > 0 || o.Broken {
+	if len(o.Audit.Breaks) > 0 || o.OtherFailure {
 		return ErrBroken
 	}
 	return nil
@@ -120,7 +120,7 @@
 		}
 	}
 	all := append(seen, theirs...)
-	o := scenario.Judge(s, all, c.book, m.configs.String())
-	o.Broken = len(m.configs.BadAccepted) > 0
+	o := scenario.Evaluate(s, all, c.book, m.configs.String())
+	o.OtherFailure = len(m.configs.BadAccepted) > 0
 	return o, ctx.Err()
 }
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -190,8 +190,8 @@
 			if c.rule > 0 && caught == 0 {
 				t.Errorf("not caught: %+v", o.Audit)
 			}
-			if c.rule == 0 && o.Kept() < 0.5 {
-				t.Errorf("gain kept is %.2f", o.Kept())
+			if c.rule == 0 && o.GainShare() < 0.5 {
+				t.Errorf("gain kept is %.2f", o.GainShare())
 			}
 		})
 	}
--- a/internal/rehearse/tool.go
+++ b/internal/rehearse/tool.go
@@ -38,7 +38,7 @@
 
 // Part sends a share of a scenario's load, each of-th arrival from the share-th on, and gives the tallies. Latencies count
 // from when an RPC was due: a front end that stalls does not hide what waited for it.
-func Part(ctx context.Context, s *settings.Scenario, at Sockets, share, of int) (*scenario.Book, error) {
+func Part(ctx context.Context, s *settings.Scenario, at Sockets, share, of int) (*scenario.Tallies, error) {
 	for _, m := range s.Load.Mix {
 		if list := map[string][]string{jsonRPC: at.JSONRPC, "http": at.HTTP, "grpc": at.GRPC}[m.Front]; len(list) == 0 {
 			return nil, m.Errorf("mix of method %q over %s: no socket is named for that", m.Method, m.Front)
@@ -68,7 +68,7 @@
 	if err != nil {
 		return err
 	}
-	book := scenario.NewBook(s)
+	book := scenario.NewTallies(s)
 	var mu sync.Mutex
 	var group errgroup.Group
 	begin := time.Now()
@@ -89,7 +89,7 @@
 			if err := cmd.Run(); err != nil {
 				return fmt.Errorf("process %d: %w: %s", i, err, wrong.String())
 			}
-			var part scenario.Book
+			var part scenario.Tallies
 			if err := json.Unmarshal(told.Bytes(), &part); err != nil {
 				return fmt.Errorf("process %d: %w", i, err)
 			}
--- a/internal/scenario/day.go
+++ b/internal/scenario/day.go
@@ -1,5 +1,5 @@
-// Package scenario has what a scripted day is, whoever plays it: who asks for what and when, how clients try again, and the
-// table of what became of it. No I/O, no clock.
+// Package scenario has what rehearsals and the emulator share to play a scenario: the arrivals of RPCs, how clients
+// retry, and the tallies of the outcomes. It does no I/O, except for printing to a writer, and reads no clock.
 package scenario
 
 import (
@@ -21,41 +21,42 @@
 	"mallowlanding/router"
 )
 
-// worstWindow is how many seconds the worst window has, as on the bench.
-const worstWindow = 10
+// worstWindowSeconds is the length of the window for which the worst result is reported, the same as in the benchmark.
+const worstWindowSeconds = 10
 
-// leftMargin is how long after its client left work may still begin, in ms: two changes of process on a busy machine.
-const leftMargin = 20
+// leaveMarginMs is the time after its client left in which an RPC's work may still begin: two context switches on a
+// busy machine.
+const leaveMarginMs = 20
 
-// Outcome is what a day brought.
+// Outcome is the result of playing a scenario.
 type Outcome struct {
-	Audit   audit.Result
-	Waste   audit.Wasted
-	Methods map[string]*Tally
-	Seconds []*Tally
-	Broken  bool   // something other than the five rules broke
-	Notes   string // lines of whoever played it
+	Audit        audit.Result
+	Waste        audit.Wasted
+	Methods      map[string]*Tally
+	Seconds      []*Tally
+	OtherFailure bool   // something failed beside the five rules
+	Notes        string // further lines to print, from the rehearsal
 }
 
-// Tally sums up what became of one method's first tries, each with its repeats.
+// Tally counts the outcomes of RPCs, each with its repeats.
 type Tally struct {
 	Asked, OK, Late, Denied, Aborted, Lost int
 	GainAsked, GainKept                    float64
 	latency                                *hdrhistogram.Histogram // of ok, in microseconds
 }
 
-// NewTally begins with nothing.
+// NewTally returns an empty tally.
 func NewTally() *Tally { return &Tally{latency: hdrhistogram.New(1, 120e6, 3)} }
 
-// Book is a day's tallies while it goes on. It belongs to one goroutine.
-type Book struct {
+// Tallies are the tallies of a scenario in progress, by method and by second. They are not safe for concurrent use.
+type Tallies struct {
 	Methods map[string]*Tally
 	Seconds []*Tally
 }
 
-// NewBook begins one.
-func NewBook(s *settings.Scenario) *Book {
-	b := &Book{Methods: map[string]*Tally{}}
+// NewTallies returns empty tallies for each method and each second of a scenario.
+func NewTallies(s *settings.Scenario) *Tallies {
+	b := &Tallies{Methods: map[string]*Tally{}}
 	for i := range s.Service.Methods {
 		b.Methods[s.Service.Methods[i].Name] = NewTally()
 	}
@@ -65,10 +66,11 @@
 	return b
 }
 
-// Count takes one first try with its repeats: due since the day began, ended took later.
-func (b *Book) Count(m *settings.Method, due time.Duration, outcome string, took time.Duration) {
-	at := min(int(due/time.Second), len(b.Seconds)-1)
-	for _, t := range []*Tally{b.Methods[m.Name], b.Seconds[at]} {
+// Count adds the final outcome of an RPC. Due is when its first try was due, since the load began; took is the time
+// from then to the outcome.
+func (b *Tallies) Count(m *settings.Method, due time.Duration, outcome string, took time.Duration) {
+	second := min(int(due/time.Second), len(b.Seconds)-1)
+	for _, t := range []*Tally{b.Methods[m.Name], b.Seconds[second]} {
 		t.Asked++
 		t.GainAsked += m.Gain
 		switch outcome {
@@ -91,12 +93,12 @@
 	}
 }
 
-// Quantile is the latency of ok at p percent.
+// Quantile returns the latency of RPCs that ended ok at p percent.
 func (t *Tally) Quantile(p float64) time.Duration {
 	return time.Duration(t.latency.ValueAtQuantile(p)) * time.Microsecond
 }
 
-// All sums up the methods.
+// All returns the sum over all methods.
 func (o *Outcome) All() *Tally {
 	all := NewTally()
 	for _, t := range o.Methods {
@@ -105,44 +107,46 @@
 	return all
 }
 
-// Outcomes as clients see them.
+// Outcomes of an RPC as its client sees them.
 const (
 	OK      = "ok"
 	Denied  = "denied"
 	Aborted = "aborted"
 	Lost    = "lost" // no answer
-	Quit    = "quit" // the client wants nothing any more
+	Quit    = "quit" // the client left
 )
 
 // Arrival is one RPC that a client wants.
 type Arrival struct {
 	N        int
-	At       time.Duration // since the day began
-	Seed     int64         // of the client's own chance
+	At       time.Duration // since the load began
+	Seed     int64         // of the client's random numbers
 	Mix      settings.Mix
 	Function string
-	Once     bool // nobody else asks for the function
+	Once     bool // no other RPC is for this function
 }
 
-// Arrivals are a day's, in their order: an open loop, the same ones for the same seed.
+// Arrivals generates the RPCs of a scenario in the order of their times. The load is an open loop; the same seed gives
+// the same arrivals.
 type Arrivals struct {
-	s    *settings.Scenario
-	rng  *rand.Rand
-	zipf *rand.Zipf
-	n    int
-	at   time.Duration
+	scenario *settings.Scenario
+	rng      *rand.Rand
+	zipf     *rand.Zipf
+	n        int
+	at       time.Duration
 }
 
-// NewArrivals begins a day's.
+// NewArrivals returns a generator that starts at the beginning of the load.
 func NewArrivals(s *settings.Scenario) *Arrivals {
 	rng := rand.New(rand.NewSource(s.Seed))
-	return &Arrivals{s: s, rng: rng, zipf: rand.NewZipf(rng, s.Load.Zipf, 1, uint64(s.Load.Functions-1))}
+	return &Arrivals{scenario: s, rng: rng, zipf: rand.NewZipf(rng, s.Load.Zipf, 1, uint64(s.Load.Functions-1))}
 }
 
-// rateAt is the arrivals a second at a moment of the day, and the share that is for functions wanted once.
+// rateAt returns the arrivals per second at a time of the scenario, and the share of RPCs that are each for a function
+// of their own.
 func (a *Arrivals) rateAt(at router.Time) (rate, once float64) {
-	rate = a.s.Load.Rate
-	for _, t := range a.s.Troubles {
+	rate = a.scenario.Load.Rate
+	for _, t := range a.scenario.Troubles {
 		if at < t.At || at >= t.At+t.For {
 			continue
 		}
@@ -156,12 +160,12 @@
 	return rate, once
 }
 
-// swing is how the process moves the rate about its mean at a moment.
-func (a *Arrivals) swing(at router.Time) float64 {
-	l := &a.s.Load
+// rateFactor returns the ratio of the arrival process's rate at a time to its mean rate.
+func (a *Arrivals) rateFactor(at router.Time) float64 {
+	l := &a.scenario.Load
 	phase := float64(at%l.Period) / float64(l.Period)
 	switch l.Process {
-	case "bursty": // a fifth of each period is a burst; the mean stays
+	case "bursty": // a fifth of each period is a burst; the mean is unchanged
 		if phase < 0.2 {
 			return 1 + 4*l.Depth
 		}
@@ -172,53 +176,54 @@
 	return 1
 }
 
-// traced is the next line of the trace, in the mix of its method where there is one.
-func (a *Arrivals) traced() (Arrival, bool) {
-	if a.n >= len(a.s.Load.Events) {
+// nextTraced returns the next line of the trace. Its protocol is that of the mix entry of the same method, else that of
+// the first entry.
+func (a *Arrivals) nextTraced() (Arrival, bool) {
+	if a.n >= len(a.scenario.Load.Events) {
 		return Arrival{}, false
 	}
-	e := a.s.Load.Events[a.n]
+	e := a.scenario.Load.Events[a.n]
 	out := Arrival{N: a.n, At: eventloop.ToDuration(e.At), Seed: a.rng.Int63(), Function: e.Function,
-		Mix: settings.Mix{Method: e.Method, Customer: e.Customer, Front: a.s.Load.Mix[0].Front}}
-	for _, m := range a.s.Load.Mix {
+		Mix: settings.Mix{Method: e.Method, Customer: e.Customer, Front: a.scenario.Load.Mix[0].Front}}
+	for _, m := range a.scenario.Load.Mix {
 		if m.Method == e.Method {
 			out.Mix.Front = m.Front
 		}
 	}
 	a.n++
-	return out, out.At < eventloop.ToDuration(a.s.Length)
+	return out, out.At < eventloop.ToDuration(a.scenario.Length)
 }
 
-// Next gives the next arrival; false: the day is over.
+// Next returns the next arrival, or false at the end of the scenario.
 func (a *Arrivals) Next() (Arrival, bool) {
-	if a.n >= a.s.Load.Most {
+	if a.n >= a.scenario.Load.Most {
 		return Arrival{}, false
 	}
-	if a.s.Load.Process == "trace" {
-		return a.traced()
+	if a.scenario.Load.Process == "trace" {
+		return a.nextTraced()
 	}
 	rate, once := a.rateAt(eventloop.FromDuration(a.at))
 	gap := func() float64 { return a.rng.ExpFloat64() }
-	if a.s.Load.Process == "steady" {
+	if a.scenario.Load.Process == "steady" {
 		gap = func() float64 { return 1 }
 	}
-	// a rate that swings: drawn at its highest, and thinned to what it is at that moment
-	for most := 1 + 4*a.s.Load.Depth; ; {
-		if a.s.Load.Process != "bursty" && a.s.Load.Process != "diurnal" {
-			most = 1
+	// a varying rate: arrivals are drawn at its peak and thinned to the rate of their time
+	for peak := 1 + 4*a.scenario.Load.Depth; ; {
+		if a.scenario.Load.Process != "bursty" && a.scenario.Load.Process != "diurnal" {
+			peak = 1
 		}
-		a.at += time.Duration(gap() / (rate * most) * float64(time.Second))
-		if a.at >= eventloop.ToDuration(a.s.Length) {
+		a.at += time.Duration(gap() / (rate * peak) * float64(time.Second))
+		if a.at >= eventloop.ToDuration(a.scenario.Length) {
 			return Arrival{}, false
 		}
-		if most == 1 || a.rng.Float64()*most < a.swing(eventloop.FromDuration(a.at)) {
+		if peak == 1 || a.rng.Float64()*peak < a.rateFactor(eventloop.FromDuration(a.at)) {
 			break
 		}
 	}
-	out := Arrival{N: a.n, At: a.at, Mix: a.s.Load.Mix[len(a.s.Load.Mix)-1]}
-	for x, i := a.rng.Float64(), 0; i < len(a.s.Load.Mix); i++ {
-		if x -= a.s.Load.Mix[i].Share; x < 0 {
-			out.Mix = a.s.Load.Mix[i]
+	out := Arrival{N: a.n, At: a.at, Mix: a.scenario.Load.Mix[len(a.scenario.Load.Mix)-1]}
+	for x, i := a.rng.Float64(), 0; i < len(a.scenario.Load.Mix); i++ {
+		if x -= a.scenario.Load.Mix[i].Share; x < 0 {
+			out.Mix = a.scenario.Load.Mix[i]
 			break
 		}
 	}
@@ -231,85 +236,90 @@
 	return out, true
 }
 
-// Client is how one client goes about its RPC.
+// Client decides how one client sends and retries its RPC.
 type Client struct {
-	Method *settings.Method
-	s      *settings.Callers
-	rng    *rand.Rand
-	Token  string
-	try    int
-	first  time.Duration // when it was first sent
-	sent   bool
+	Method    *settings.Method
+	callers   *settings.Callers
+	rng       *rand.Rand
+	Token     string
+	tries     int
+	firstSent time.Duration // time of the first try
+	sent      bool
 }
 
-// NewClient begins one; its chance is its own.
+// NewClient returns a client with random numbers of its own.
 func NewClient(s *settings.Scenario, m *settings.Method, a Arrival) *Client {
-	return &Client{Method: m, s: &s.Clients, rng: rand.New(&chance{uint64(a.Seed)}), Token: fmt.Sprintf("t%d-%d", s.Seed, a.N)}
+	return &Client{Method: m, callers: &s.Clients, rng: rand.New(&splitMix64{uint64(a.Seed)}), Token: fmt.Sprintf("t%d-%d", s.Seed, a.N)}
 }
 
-// chance is a source that costs little to seed: there is one for each RPC. It is SplitMix64 (Steele, Lea, Flood, 2014).
-type chance struct{ x uint64 }
+// splitMix64 is the random source SplitMix64 (Steele, Lea, Flood, 2014). Each RPC has its own, so it must be cheap to
+// seed.
+type splitMix64 struct{ state uint64 }
 
 // Uint64 implements rand.Source64.
-func (c *chance) Uint64() uint64 {
-	c.x += 0x9e3779b97f4a7c15
-	z := c.x
+func (c *splitMix64) Uint64() uint64 {
+	c.state += 0x9e3779b97f4a7c15
+	z := c.state
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
 	z = (z ^ z>>27) * 0x94d049bb133111eb
 	return z ^ z>>31
 }
 
 // Int63 implements rand.Source.
-func (c *chance) Int63() int64 { return int64(c.Uint64() >> 1) }
+func (c *splitMix64) Int63() int64 { return int64(c.Uint64() >> 1) }
 
 // Seed implements rand.Source.
-func (c *chance) Seed(seed int64) { c.x = uint64(seed) }
+func (c *splitMix64) Seed(seed int64) { c.state = uint64(seed) }
 
-// Rand is the client's own chance.
+// Rand returns the client's random numbers.
 func (c *Client) Rand() *rand.Rand { return c.rng }
 
-// Try begins a try while left of its time is left: how long this try waits. False: it gives up.
-func (c *Client) Try(now, left time.Duration) (span time.Duration, repeat, goes bool) {
-	if left <= 0 || c.try > c.s.Retries {
+// Try begins a try. Left is the time to the RPC's deadline; span is how long this try waits for its answer. It returns
+// false if the client gives up.
+func (c *Client) Try(now, left time.Duration) (span time.Duration, repeat, ok bool) {
+	if left <= 0 || c.tries > c.callers.Retries {
 		return 0, false, false
 	}
-	span = time.Duration(float64(eventloop.ToDuration(c.Method.Deadline)) * (c.s.TryShare + (1-c.s.TryShare)*c.rng.Float64()))
+	span = time.Duration(float64(eventloop.ToDuration(c.Method.Deadline)) * (c.callers.TryShare + (1-c.callers.TryShare)*c.rng.Float64()))
 	if !c.sent {
-		c.sent, c.first = true, now
+		c.sent, c.firstSent = true, now
 	}
-	c.try++
-	return min(span, left), c.try > 1, true
+	c.tries++
+	return min(span, left), c.tries > 1, true
 }
 
-// Again tells whether it tries again after an outcome, and how long it waits before: idempotent ones go again after any
-// failure, tokened ones of one group within their window, others only after a denial or where nothing was sent.
-func (c *Client) Again(now time.Duration, outcome string, sent bool, comeBack time.Duration) (wait time.Duration, again bool) {
+// Retry reports whether the client retries after an outcome, and how long it waits before that. Idempotent RPCs are
+// retried after any failure, and tokened ones whose group is "all" within half of their window; others only if they
+// were denied or not sent.
+func (c *Client) Retry(now time.Duration, outcome string, sent bool, retryAfter time.Duration) (wait time.Duration, again bool) {
 	m := c.Method
 	again = !sent || outcome == Denied || m.Effect == router.Idempotent ||
-		m.Effect == router.Tokened && m.Group == "all" && now-c.first < eventloop.ToDuration(m.Window)/2
+		m.Effect == router.Tokened && m.Group == "all" && now-c.firstSent < eventloop.ToDuration(m.Window)/2
 	if outcome == OK || outcome == Quit || !again {
 		return 0, false
 	}
-	wait = eventloop.ToDuration(c.s.BackOff)
-	if comeBack > 0 && c.rng.Float64() < c.s.Heed {
-		wait = comeBack
+	wait = eventloop.ToDuration(c.callers.BackOff)
+	if retryAfter > 0 && c.rng.Float64() < c.callers.Heed {
+		wait = retryAfter
 	}
 	return time.Duration(float64(wait) * (0.5 + c.rng.Float64())), true
 }
 
-// Impatient tells whether it will leave before its answer comes, after how long, and by closing its connection.
+// Impatient reports whether the client leaves before its answer arrives, after how long, and whether it does so by
+// closing its connection.
 func (c *Client) Impatient() (after time.Duration, closes, is bool) {
-	is = c.rng.Float64() < c.s.Impatient
+	is = c.rng.Float64() < c.callers.Impatient
 	after = time.Duration(c.rng.Float64() * float64(eventloop.ToDuration(c.Method.Soft)))
 	return after, c.rng.Intn(2) == 0, is
 }
 
-// Front is the plain layer before the front ends: each in turn by chance, dead ones left out once that was noticed. Dead
-// tells since when one is known to be dead; below 0: it lives.
-func Front(rng *rand.Rand, n int, dead func(i int) time.Duration, notice time.Duration) int {
+// ChooseFrontEnd stands in for a load balancer before the front ends: it chooses one at random and leaves out those
+// that are down for noticeAfter or longer. DeadFor returns how long front end i is down, or a negative duration if it
+// is up.
+func ChooseFrontEnd(rng *rand.Rand, n int, deadFor func(i int) time.Duration, noticeAfter time.Duration) int {
 	var alive []int
 	for i := range n {
-		if since := dead(i); since < notice {
+		if since := deadFor(i); since < noticeAfter {
 			alive = append(alive, i)
 		}
 	}
@@ -319,14 +329,14 @@
 	return alive[rng.Intn(len(alive))]
 }
 
-// Judge audits a day's records.
-func Judge(s *settings.Scenario, records []record.Record, b *Book, notes string) *Outcome {
-	return &Outcome{Audit: audit.Check(Figures(s), records), Waste: audit.Waste(records, leftMargin), Methods: b.Methods,
+// Evaluate audits the records of a scenario that was played.
+func Evaluate(s *settings.Scenario, records []record.Record, b *Tallies, notes string) *Outcome {
+	return &Outcome{Audit: audit.Check(AuditLimits(s), records), Waste: audit.Waste(records, leaveMarginMs), Methods: b.Methods,
 		Seconds: b.Seconds, Notes: notes}
 }
 
-// Figures are what a scenario's rules are held to.
-func Figures(s *settings.Scenario) audit.Figures {
+// AuditLimits returns the limits that the audit holds a scenario's records to.
+func AuditLimits(s *settings.Scenario) audit.Figures {
 	r, fn := &s.Service.Rules, &s.Service.Functions
 	f := audit.Figures{Methods: map[string]audit.Method{}, Slack: float64(s.Slack) / 10, Drain: float64(r.Drain) / 10,
 		FallMultiple: r.FallMultiple, Fall: float64(r.Fall) / 10, Cold: float64(r.Cold) / 10,
@@ -337,8 +347,8 @@
 	return f
 }
 
-// Kept is the share of gain kept of gain asked, over all methods.
-func (o *Outcome) Kept() float64 {
+// GainShare returns the gain kept as a share of the gain of all RPCs, over all methods.
+func (o *Outcome) GainShare() float64 {
 	kept, asked := 0.0, 0.0
 	for _, t := range o.Methods {
 		kept, asked = kept+t.GainKept, asked+t.GainAsked
@@ -346,10 +356,10 @@
 	return kept / max(asked, 1e-9)
 }
 
-// worst is the window of seconds that kept least.
+// worst returns the first second and the kept share of gain of the window that kept least.
 func (o *Outcome) worst() (from int, share float64) {
 	share = 2
-	n := min(worstWindow, len(o.Seconds))
+	n := min(worstWindowSeconds, len(o.Seconds))
 	for i := 0; i+n <= len(o.Seconds); i++ {
 		kept, asked := 0.0, 0.0
 		for _, t := range o.Seconds[i : i+n] {
@@ -362,7 +372,7 @@
 	return from, share
 }
 
-// methodTable begins a table with a row for each method and one for all.
+// methodTable returns a table with a row for each method and one for all, and a function that appends a row.
 func methodTable(out io.Writer, title string, methods map[string]*Tally) (w table.Writer, row func(name string, t *Tally)) {
 	w = table.NewWriter()
 	w.SetOutputMirror(out)
@@ -389,14 +399,14 @@
 	return w, row
 }
 
-// Print writes the tallies of methods.
-func (b *Book) Print(out io.Writer, title string) {
+// Print writes a table of the tallies by method.
+func (b *Tallies) Print(out io.Writer, title string) {
 	w, _ := methodTable(out, title, b.Methods)
 	w.Render()
 }
 
-// Merge adds what another process has counted.
-func (b *Book) Merge(o *Book) error {
+// Merge adds the tallies of another process.
+func (b *Tallies) Merge(o *Tallies) error {
 	for name, t := range o.Methods {
 		if b.Methods[name] == nil {
 			return fmt.Errorf("tallies of method %q, which is unknown here", name)
@@ -411,7 +421,7 @@
 	return nil
 }
 
-// MarshalJSON has the histogram go along, in its library's own compressed form.
+// MarshalJSON includes the histogram in its library's compressed encoding.
 func (t *Tally) MarshalJSON() ([]byte, error) {
 	h, err := t.latency.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 	if err != nil {
@@ -420,7 +430,7 @@
 	return json.Marshal(tallyJSON{t.Asked, t.OK, t.Late, t.Denied, t.Aborted, t.Lost, t.GainAsked, t.GainKept, h})
 }
 
-// UnmarshalJSON reads what MarshalJSON wrote.
+// UnmarshalJSON decodes the output of MarshalJSON.
 func (t *Tally) UnmarshalJSON(raw []byte) error {
 	var j tallyJSON
 	if err := json.Unmarshal(raw, &j); err != nil {
@@ -441,17 +451,17 @@
 	Latency                                []byte
 }
 
-// Print writes the table.
+// Print writes the tallies by method, the worst window, and the results of the audit.
 func (o *Outcome) Print(out io.Writer, s *settings.Scenario) {
 	w, row := methodTable(out, s.Name, o.Methods)
 	w.AppendSeparator()
 	from, _ := o.worst()
 	window := NewTally()
-	for i := from; i < min(from+worstWindow, len(o.Seconds)); i++ {
+	for i := from; i < min(from+worstWindowSeconds, len(o.Seconds)); i++ {
 		row(fmt.Sprintf("second %d", i), o.Seconds[i])
 		window.Add(o.Seconds[i])
 	}
-	row(fmt.Sprintf("worst %d s", worstWindow), window)
+	row(fmt.Sprintf("worst %d s", worstWindowSeconds), window)
 	w.Render()
 	a := o.Audit
 	fmt.Fprintf(out, "seen by clients, workers and roster: %d RPCs, %d answers, %d call-outs, %d load orders, %d effects\n",
@@ -459,7 +469,7 @@
 	fmt.Fprint(out, o.Notes)
 	if q := o.Waste; q.Quits > 0 {
 		fmt.Fprintf(out, "%d clients left: work begun later than %d ms after that %d times, %.0f ms; work past that %.0f ms of %.0f, %.2f%%\n",
-			q.Quits, leftMargin, q.Late, q.Begun, q.Went, q.All, 100*q.Went/max(q.All, 1e-9))
+			q.Quits, leaveMarginMs, q.Late, q.Begun, q.Went, q.All, 100*q.Went/max(q.All, 1e-9))
 	}
 	for rule := 1; rule <= 5; rule++ {
 		var breaks []audit.Break
@@ -479,7 +489,7 @@
 	}
 }
 
-// Add sums up.
+// Add adds another tally to t.
 func (t *Tally) Add(o *Tally) {
 	t.Asked, t.OK, t.Late, t.Denied = t.Asked+o.Asked, t.OK+o.OK, t.Late+o.Late, t.Denied+o.Denied
 	t.Aborted, t.Lost = t.Aborted+o.Aborted, t.Lost+o.Lost
--- a/internal/scenario/day_test.go
+++ b/internal/scenario/day_test.go
@@ -12,14 +12,14 @@
 	"mallowlanding/internal/settings"
 )
 
-const scenario = `<scenario name="s" length-ms="100000" seed="4"><service><method name="a" effect="idempotent"/><method name="b" effect="idempotent"/></service>
+const scenarioText = `<scenario name="s" length-ms="100000" seed="4"><service><method name="a" effect="idempotent"/><method name="b" effect="idempotent"/></service>
 <fleet><workers count="1"/><work method="a"/></fleet><load rate-per-s="50" LOAD><mix method="a" share="1" front="http"/></load></scenario>`
 
-func read(t *testing.T, load, trace string) *settings.Scenario {
+func readScenario(t *testing.T, load, trace string) *settings.Scenario {
 	t.Helper()
 	dir := t.TempDir()
 	file := filepath.Join(dir, "s.xml")
-	if err := os.WriteFile(file, []byte(strings.Replace(scenario, "LOAD", load, 1)), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(strings.Replace(scenarioText, "LOAD", load, 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := os.WriteFile(filepath.Join(dir, "trace"), []byte(trace), 0o600); err != nil {
@@ -32,7 +32,7 @@
 	return s
 }
 
-func all(s *settings.Scenario) (out []Arrival) {
+func allArrivals(s *settings.Scenario) (out []Arrival) {
 	arrivals := NewArrivals(s)
 	for a, more := arrivals.Next(); more; a, more = arrivals.Next() {
 		out = append(out, a)
@@ -40,7 +40,7 @@
 	return out
 }
 
-// Every process keeps the mean rate; each swings as it says.
+// Every arrival process has the mean rate of the settings, and the peak and spread of its kind.
 func TestProcesses(t *testing.T) {
 	for load, x := range map[string]struct {
 		peak   float64 // rate over the mean in the busiest fifth of the period
@@ -51,24 +51,24 @@
 		`process="bursty" depth="0.8"`: {4.2, -1},
 		`process="diurnal" depth="1"`:  {1.9, -1},
 	} {
-		as := all(read(t, load, ""))
-		if n := float64(len(as)); math.Abs(n/5000-1) > 0.05 {
+		arrivals := allArrivals(readScenario(t, load, ""))
+		if n := float64(len(arrivals)); math.Abs(n/5000-1) > 0.05 {
 			t.Errorf("%s: %v arrivals, want 5000", load, n)
 		}
 		var fifths [5]float64
 		var gaps []float64
 		last := time.Duration(0)
-		for _, a := range as {
+		for _, a := range arrivals {
 			fifths[int(a.At%(10*time.Second)/(2*time.Second))]++
 			gaps = append(gaps, (a.At - last).Seconds())
 			last = a.At
 		}
 		peak := 0.0
 		for _, n := range fifths {
-			peak = max(peak, n*5/float64(len(as)))
+			peak = max(peak, n*5/float64(len(arrivals)))
 		}
 		if math.Abs(peak/x.peak-1) > 0.08 {
-			t.Errorf("%s: the busiest fifth has %.2f of the mean, want %.2f", load, peak, x.peak)
+			t.Errorf("%s: the busiest fifth of the period has %.2f times the mean rate, want %.2f", load, peak, x.peak)
 		}
 		mean, sd := 0.0, 0.0
 		for _, g := range gaps {
@@ -78,22 +78,22 @@
 			sd += (g - mean) * (g - mean) / float64(len(gaps))
 		}
 		if sd = math.Sqrt(sd) / mean; x.spread >= 0 && math.Abs(sd-x.spread) > 0.05 {
-			t.Errorf("%s: gaps spread by %.2f of their mean, want %.2f", load, sd, x.spread)
+			t.Errorf("%s: the standard deviation of gaps is %.2f of their mean, want %.2f", load, sd, x.spread)
 		}
 	}
 }
 
-// A trace is replayed as it is; one that can't be says where.
+// A trace is replayed line by line; an invalid one is rejected with the place of the fault.
 func TestTrace(t *testing.T) {
-	as := all(read(t, `process="trace" trace="trace"`, "# a day\n0 a f1\n10.5 b f2\n\n10.5 a f1 c\n"))
-	if len(as) != 3 || as[1].At != 10500*time.Microsecond || as[1].Mix.Method != "b" || as[1].Function != "f2" || as[2].Mix.Customer != "c" ||
-		as[0].Mix.Front != "http" {
-		t.Errorf("%+v", as)
+	arrivals := allArrivals(readScenario(t, `process="trace" trace="trace"`, "# a day\n0 a f1\n10.5 b f2\n\n10.5 a f1 c\n"))
+	if len(arrivals) != 3 || arrivals[1].At != 10500*time.Microsecond || arrivals[1].Mix.Method != "b" || arrivals[1].Function != "f2" || arrivals[2].Mix.Customer != "c" ||
+		arrivals[0].Mix.Front != "http" {
+		t.Errorf("%+v", arrivals)
 	}
 	dir := t.TempDir()
 	for text, want := range map[string]string{"x a f": "trace:1: ", "5 a f\n4 a f": "trace:2: 4 ms is before", "1 a": "trace:1: ", "1 z f": `method "z"`} {
 		file := filepath.Join(dir, "s.xml")
-		_ = os.WriteFile(file, []byte(strings.Replace(scenario, "LOAD", `process="trace" trace="trace"`, 1)), 0o600)
+		_ = os.WriteFile(file, []byte(strings.Replace(scenarioText, "LOAD", `process="trace" trace="trace"`, 1)), 0o600)
 		_ = os.WriteFile(filepath.Join(dir, "trace"), []byte(text), 0o600)
 		if _, err := settings.ReadScenario(file); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", text, err)
@@ -101,33 +101,33 @@
 	}
 }
 
-// Tallies that went over a pipe merge to what one process would have counted.
+// Tallies of several processes, encoded as JSON and merged, equal those of a single process.
 func TestMerge(t *testing.T) {
-	s := read(t, "", "")
+	s := readScenario(t, "", "")
 	m := &s.Service.Methods[0]
-	whole := NewBook(s)
-	parts := []*Book{NewBook(s), NewBook(s)}
+	single := NewTallies(s)
+	parts := []*Tallies{NewTallies(s), NewTallies(s)}
 	for i := range 1000 {
 		outcome, took := []string{OK, OK, Denied, Aborted, Lost}[i%5], time.Duration(i)*time.Millisecond
-		for _, b := range []*Book{whole, parts[i%2]} {
+		for _, b := range []*Tallies{single, parts[i%2]} {
 			b.Count(m, time.Duration(i)*90*time.Millisecond, outcome, took)
 		}
 	}
-	merged := NewBook(s)
+	merged := NewTallies(s)
 	for _, p := range parts {
 		raw, err := json.Marshal(p)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var back Book
-		if err := json.Unmarshal(raw, &back); err != nil {
+		var decoded Tallies
+		if err := json.Unmarshal(raw, &decoded); err != nil {
 			t.Fatal(err)
 		}
-		if err := merged.Merge(&back); err != nil {
+		if err := merged.Merge(&decoded); err != nil {
 			t.Fatal(err)
 		}
 	}
-	a, b := whole.Methods["a"], merged.Methods["a"]
+	a, b := single.Methods["a"], merged.Methods["a"]
 	if a.Asked != 1000 || a.Asked != b.Asked || a.OK != b.OK || a.Late != b.Late || a.Denied != b.Denied || a.Aborted != b.Aborted ||
 		a.Lost != b.Lost || math.Abs(a.GainKept-b.GainKept) > 1e-9 {
 		t.Errorf("%+v, merged %+v", a, b)
@@ -137,7 +137,7 @@
 			t.Errorf("p%v: %v, merged %v", p, a.Quantile(p), b.Quantile(p))
 		}
 	}
-	if err := merged.Merge(&Book{Methods: map[string]*Tally{"other": NewTally()}}); err == nil {
+	if err := merged.Merge(&Tallies{Methods: map[string]*Tally{"other": NewTally()}}); err == nil {
 		t.Error("tallies of an unknown method were merged")
 	}
 }
