--- a/cmd/mallowlanding/emulate.go
+++ b/cmd/mallowlanding/emulate.go
@@ -84,7 +84,7 @@
 	if dir == "" {
 		dir = x.Name
 	}
-	runs, err := experiment.Play(e.ctx, x, dir, os.Stderr)
+	runs, err := experiment.Execute(e.ctx, x, dir, os.Stderr)
 	if err != nil {
 		return err
 	}
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment runs a plan's days over all cores, keeps every RPC and every run in columnar files, and makes a
-// report of them. A run that was finished is not run again: an experiment that was stopped goes on where it was.
+// Package experiment emulates the runs of a plan on all cores, saves every RPC and every run in Parquet files, and
+// writes a report. Finished runs are not repeated, so an experiment that was stopped resumes where it stopped.
 package experiment
 
 import (
@@ -24,14 +24,14 @@
 	"mallowlanding/internal/settings"
 )
 
-// Run is one day with one seed, as it came out: a row of runs.parquet.
+// Run is the result of one scenario with one seed: a row of runs.parquet.
 type Run struct {
-	Cell     string  `parquet:"cell,dict"` // what was set, beside the seed
+	Cell     string  `parquet:"cell,dict"` // scenario, policy and overrides
 	Day      string  `parquet:"day,dict"`
 	Policy   string  `parquet:"policy,dict"`
-	Set      string  `parquet:"set,dict"` // overrides, by blanks
+	Set      string  `parquet:"set,dict"` // overrides, separated by blanks
 	Seed     int64   `parquet:"seed"`
-	Kept     float64 `parquet:"gain_kept"` // share of the gain asked for
+	Kept     float64 `parquet:"gain_kept"` // share of the gain of all RPCs
 	OKShare  float64 `parquet:"ok_share"`
 	Late     int64   `parquet:"late"`
 	Denied   int64   `parquet:"denied"`
@@ -43,19 +43,19 @@
 	Breaks   int64   `parquet:"rule_breaks"`
 	P50      float64 `parquet:"p50_ms"`
 	P99      float64 `parquet:"p99_ms"`
-	TookMs   float64 `parquet:"took_ms"` // of the real clock
+	TookMs   float64 `parquet:"took_ms"` // real time
 }
 
-// job is a run to be done.
+// job is a run of the plan and what it needs to be executed.
 type job struct {
 	Run
-	file string
-	set  []settings.Override
+	scenarioFile string
+	overrides    []settings.Override
 }
 
-// key names a run's files: all that it depends on, the scenario's text included.
+// key returns the name of the run's files: a hash of all that the run depends on, including the scenario's text.
 func (j *job) key() (string, error) {
-	text, err := os.ReadFile(j.file)
+	text, err := os.ReadFile(j.scenarioFile)
 	if err != nil {
 		return "", err
 	}
@@ -63,8 +63,8 @@
 	return fmt.Sprintf("%x", sum[:12]), nil
 }
 
-// jobs are all combinations, seeds innermost.
-func jobs(x *settings.Experiment) (out []job) {
+// expandPlan returns a job for each combination of the plan; the seed varies fastest.
+func expandPlan(x *settings.Experiment) (out []job) {
 	policies := []string{"module"}
 	if len(x.Policies) > 0 {
 		policies = nil
@@ -76,7 +76,7 @@
 	for _, v := range x.Varied {
 		var next [][]settings.Override
 		for _, g := range grids {
-			steps, _ := v.OverrideSets() // checked with the plan
+			steps, _ := v.OverrideSets() // the plan's reader has checked this
 			for _, step := range steps {
 				next = append(next, slices.Concat(g, step))
 			}
@@ -92,7 +92,7 @@
 				}
 				name := strings.TrimSuffix(filepath.Base(d.File), ".xml")
 				for i := range x.Seeds {
-					out = append(out, job{file: d.File, set: g, Run: Run{Day: name, Policy: p, Set: strings.Join(set, " "),
+					out = append(out, job{scenarioFile: d.File, overrides: g, Run: Run{Day: name, Policy: p, Set: strings.Join(set, " "),
 						Cell: strings.Join(append([]string{name, p}, set...), " "), Seed: x.FirstSeed + int64(i)}})
 				}
 			}
@@ -101,26 +101,27 @@
 	return out
 }
 
-// Play runs what the folder does not have yet, and writes runs.parquet and report.html there. Progress goes to bar.
-func Play(ctx context.Context, x *settings.Experiment, dir string, bar io.Writer) ([]Run, error) {
+// Execute runs all jobs whose results are not in dir yet, and writes runs.parquet there. A progress bar is written to
+// bar.
+func Execute(ctx context.Context, x *settings.Experiment, dir string, bar io.Writer) ([]Run, error) {
 	for _, sub := range []string{"runs", "rpcs"} {
 		if err := os.MkdirAll(filepath.Join(dir, sub), 0o755); err != nil {
 			return nil, err
 		}
 	}
-	all := jobs(x)
+	all := expandPlan(x)
 	progress := progressbar.NewOptions(len(all), progressbar.OptionSetWriter(bar), progressbar.OptionShowCount(),
 		progressbar.OptionSetDescription(x.Name), progressbar.OptionSetPredictTime(true), progressbar.OptionThrottle(200e6))
-	group, running := errgroup.WithContext(ctx)
+	group, groupCtx := errgroup.WithContext(ctx)
 	group.SetLimit(runtime.NumCPU())
 	runs := make([]Run, len(all))
 	var mu sync.Mutex
 	for i := range all {
-		if running.Err() != nil {
+		if groupCtx.Err() != nil {
 			break
 		}
 		group.Go(func() error {
-			r, err := one(running, dir, &all[i])
+			r, err := runJob(groupCtx, dir, &all[i])
 			if err != nil {
 				return fmt.Errorf("%s, seed %d: %w", all[i].Cell, all[i].Seed, err)
 			}
@@ -130,33 +131,33 @@
 			return progress.Add(1)
 		})
 	}
-	// the group's own context is over by now in any case: asked in place of ours it hid a run's error, where the last
-	// run of all was through
+	// Check ctx, not groupCtx: groupCtx is always cancelled once Wait returns. Checking it in place of ctx hid a run's
+	// error if the last run had finished.
 	if err := errors.Join(group.Wait(), ctx.Err()); err != nil {
 		return nil, err
 	}
 	_, _ = fmt.Fprintln(bar)
-	if err := write(filepath.Join(dir, "runs.parquet"), runs); err != nil {
+	if err := writeFile(filepath.Join(dir, "runs.parquet"), runs); err != nil {
 		return nil, err
 	}
 	return runs, nil
 }
 
-// one does a run, or reads what it gave before.
-func one(ctx context.Context, dir string, j *job) (Run, error) {
+// runJob executes a run and saves its results, or reads the results that an earlier execution saved.
+func runJob(ctx context.Context, dir string, j *job) (Run, error) {
 	key, err := j.key()
 	if err != nil {
 		return Run{}, err
 	}
-	kept := filepath.Join(dir, "runs", key+".parquet")
-	if rows, err := parquet.ReadFile[Run](kept); err == nil && len(rows) == 1 {
+	file := filepath.Join(dir, "runs", key+".parquet")
+	if rows, err := parquet.ReadFile[Run](file); err == nil && len(rows) == 1 {
 		r := rows[0]
-		r.Cell, r.Day = j.Cell, j.Day // names may have changed; what was run has not
+		r.Cell, r.Day = j.Cell, j.Day // the names may have changed since, the inputs have not
 		return r, nil
 	} else if err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return Run{}, fmt.Errorf("%s is spoilt, remove it: %w", kept, err)
+		return Run{}, fmt.Errorf("%s is malformed, remove it: %w", file, err)
 	}
-	s, err := settings.ReadScenarioWith(j.file, j.set)
+	s, err := settings.ReadScenarioWith(j.scenarioFile, j.overrides)
 	if err != nil {
 		return Run{}, err
 	}
@@ -172,14 +173,14 @@
 	out.CallOuts, out.Orders, out.Breaks = int64(r.Audit.CallOuts), int64(r.Audit.Orders), int64(len(r.Audit.Breaks))
 	out.P50, out.P99 = all.Quantile(50).Seconds()*1000, all.Quantile(99).Seconds()*1000
 	out.TookMs = r.Elapsed.Seconds() * 1000
-	if err := write(filepath.Join(dir, "rpcs", key+".parquet"), r.RPCs); err != nil {
+	if err := writeFile(filepath.Join(dir, "rpcs", key+".parquet"), r.RPCs); err != nil {
 		return Run{}, err
 	}
-	return out, write(kept, []Run{out}) // last: a run that is there is whole
+	return out, writeFile(file, []Run{out}) // last, so that the file of a run shows that its RPCs are saved
 }
 
-// write writes a columnar file whole or not at all.
-func write[T any](file string, rows []T) error {
+// writeFile writes a Parquet file atomically.
+func writeFile[T any](file string, rows []T) error {
 	tmp, err := os.CreateTemp(filepath.Dir(file), ".new-*")
 	if err != nil {
 		return err
@@ -193,11 +194,11 @@
 	return os.Rename(tmp.Name(), file)
 }
 
-// Read reads an experiment's runs.
+// Read reads the runs of a finished experiment from its folder.
 func Read(dir string) ([]Run, error) {
 	runs, err := parquet.ReadFile[Run](filepath.Join(dir, "runs.parquet"))
 	if err != nil {
-		return nil, fmt.Errorf("%s: no finished experiment: %w", dir, err)
+		return nil, fmt.Errorf("%s: no results of a finished experiment: %w", dir, err)
 	}
 	return runs, nil
 }
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -16,10 +16,10 @@
 	"mallowlanding/internal/settings"
 )
 
-const plan = `<experiment name="two" seeds="3"><day scenario="day.xml"/><policy name="module"/><policy name="random"/>
+const planText = `<experiment name="two" seeds="3"><day scenario="day.xml"/><policy name="module"/><policy name="random"/>
 <vary set="load@rate-per-s" values="40 80"/></experiment>`
 
-func prepare(t *testing.T, text string) (dir string, x *settings.Experiment) {
+func preparePlan(t *testing.T, text string) (dir string, x *settings.Experiment) {
 	t.Helper()
 	dir = t.TempDir()
 	day, err := os.ReadFile("../emulate/testdata/short.xml")
@@ -38,16 +38,17 @@
 	return dir, x
 }
 
-// A plan's cells, its files, and that one which was stopped goes on where it was.
+// An experiment writes its files for each run of the plan, and resumes where it stopped without repeating finished
+// runs.
 func TestResume(t *testing.T) {
-	dir, x := prepare(t, plan)
+	dir, x := preparePlan(t, planText)
 	out := filepath.Join(dir, "out")
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if _, err := Play(ctx, x, out, io.Discard); err == nil {
-		t.Fatal("an experiment that was stopped ends well")
+	if _, err := Execute(ctx, x, out, io.Discard); err == nil {
+		t.Fatal("an experiment with a cancelled context returned no error")
 	}
-	runs, err := Play(context.Background(), x, out, io.Discard)
+	runs, err := Execute(context.Background(), x, out, io.Discard)
 	if err != nil || len(runs) != 12 {
 		t.Fatalf("%d runs, %v", len(runs), err)
 	}
@@ -55,7 +56,7 @@
 	if err != nil || len(files) != 12 {
 		t.Fatalf("%v, %v", files, err)
 	}
-	// what is there stays; what is missing is run again, to the same
+	// results that exist stay; missing ones are run again and come out the same
 	if err := os.Remove(files[3]); err != nil {
 		t.Fatal(err)
 	}
@@ -63,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := Play(context.Background(), x, out, io.Discard)
+	again, err := Execute(context.Background(), x, out, io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,9 +77,9 @@
 	if after, err := os.Stat(files[5]); err != nil || after.ModTime() != before.ModTime() {
 		t.Error("a finished run was run again")
 	}
-	kept, err := Read(out)
-	if err != nil || len(kept) != 12 || kept[0].Cell != "day module load@rate-per-s=40" {
-		t.Fatalf("%v, %v", kept, err)
+	saved, err := Read(out)
+	if err != nil || len(saved) != 12 || saved[0].Cell != "day module load@rate-per-s=40" {
+		t.Fatalf("%v, %v", saved, err)
 	}
 	rpcs, err := filepath.Glob(filepath.Join(out, "rpcs", "*.parquet"))
 	if err != nil || len(rpcs) != 12 {
@@ -92,12 +93,12 @@
 		}
 		all += int64(len(rows))
 	}
-	asked := int64(0)
+	counted := int64(0)
 	for _, r := range runs {
-		asked += r.Asked
+		counted += r.Asked
 	}
-	if all != asked {
-		t.Errorf("%d RPCs kept of %d", all, asked)
+	if all != counted {
+		t.Errorf("%d RPCs saved of %d", all, counted)
 	}
 	if err := Report(out, "two", runs); err != nil {
 		t.Fatal(err)
@@ -106,22 +107,22 @@
 	if err != nil || strings.Count(string(page), "<svg") != 2 || strings.Contains(string(page), "http-equiv") {
 		t.Errorf("%d bytes, %v", len(page), err)
 	}
-	// the same results differ in nothing; the policies do
+	// an experiment does not differ from itself
 	var b bytes.Buffer
 	Compare(&b, runs, runs)
 	if strings.Contains(b.String(), "yes") || !strings.Contains(b.String(), "4 cells in both; 0 only in the first") {
 		t.Error(b.String())
 	}
-	// a spoilt file is an error, not a run
+	// a malformed file is an error, not a reason to run again
 	if err := os.WriteFile(files[0], []byte("PAR1"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Play(context.Background(), x, out, io.Discard); err == nil || !strings.Contains(err.Error(), "spoilt") {
+	if _, err := Execute(context.Background(), x, out, io.Discard); err == nil || !strings.Contains(err.Error(), "malformed") {
 		t.Error(err)
 	}
 }
 
-// Figures of Student's t from published tables: 2.776 at 4 degrees of freedom, 95%.
+// Intervals and p values match published tables of Student's t: 2.776 at 4 degrees of freedom, 95%.
 func TestStatistics(t *testing.T) {
 	m := meanOf([]float64{1, 2, 3, 4, 5})
 	if want := 2.776 * math.Sqrt(2.5) / math.Sqrt(5); m.Mean != 3 || math.Abs(m.Off-want) > 1e-3 {
@@ -135,24 +136,24 @@
 		return out
 	}
 	// differences 1, 2, 3: t is 3.464 at 2 degrees of freedom, two-sided p is 0.0742
-	d := difference(pairs(0, 0, 0), pairs(1, 2, 3))
+	d := pairedDifference(pairs(0, 0, 0), pairs(1, 2, 3))
 	if math.Abs(d.P-0.0742) > 1e-3 || d.Real || d.Mean.Mean != 2 {
 		t.Errorf("%+v", d)
 	}
-	if d := difference(pairs(0, 0, 0, 0), pairs(1, 1.1, 0.9, 1)); !d.Real {
+	if d := pairedDifference(pairs(0, 0, 0, 0), pairs(1, 1.1, 0.9, 1)); !d.Real {
 		t.Errorf("%+v", d)
 	}
-	if d := difference(pairs(1, 2), pairs(1, 2)); d.P != 1 || d.Real {
+	if d := pairedDifference(pairs(1, 2), pairs(1, 2)); d.P != 1 || d.Real {
 		t.Errorf("%+v", d)
 	}
-	if d := difference(pairs(1), pairs(2)); !math.IsNaN(d.P) || d.Real {
+	if d := pairedDifference(pairs(1), pairs(2)); !math.IsNaN(d.P) || d.Real {
 		t.Errorf("one seed: %+v", d)
 	}
 }
 
-// A plan that can't be run is told of with its place.
-func TestBadPlans(t *testing.T) {
-	dir, _ := prepare(t, plan)
+// An invalid plan is rejected with the place of the fault.
+func TestInvalidPlans(t *testing.T) {
+	dir, _ := preparePlan(t, planText)
 	for text, want := range map[string]string{
 		`<experiment name="x"><day scenario="none.xml"/></experiment>`:                                             "none.xml",
 		`<experiment name="x"><day scenario="day.xml"/><vary set="load" values="1"/></experiment>`:                 "want ELEMENT/ELEMENT[N]@ATTRIBUTE",
@@ -169,8 +170,8 @@
 			t.Errorf("%s: %v", text, err)
 		}
 	}
-	_, x := prepare(t, `<experiment name="x" seeds="1"><day scenario="day.xml"/><policy name="nonsense"/></experiment>`)
-	if _, err := Play(context.Background(), x, t.TempDir(), io.Discard); err == nil || !strings.Contains(err.Error(), `no policy "nonsense"`) {
+	_, x := preparePlan(t, `<experiment name="x" seeds="1"><day scenario="day.xml"/><policy name="nonsense"/></experiment>`)
+	if _, err := Execute(context.Background(), x, t.TempDir(), io.Discard); err == nil || !strings.Contains(err.Error(), `no policy "nonsense"`) {
 		t.Error(err)
 	}
 }
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -22,13 +22,13 @@
 	_ "embed"
 )
 
-// confidence of the intervals, and 1 less it of what counts as a difference.
+// confidence is the level of the intervals; a difference is significant if its p is below 1-confidence.
 const confidence = 0.95
 
-// Mean is a mean with its interval, by Student's t over the seeds.
+// Mean is a mean over the seeds with its confidence interval by Student's t.
 type Mean struct {
 	N         int
-	Mean, Off float64 // the interval is Mean ± Off; Off is NaN where one seed tells of no spread
+	Mean, Off float64 // the interval is Mean ± Off; Off is NaN for a single seed
 }
 
 func meanOf(xs []float64) Mean {
@@ -41,7 +41,7 @@
 	return out
 }
 
-// String gives it with its interval.
+// String returns the mean with its interval.
 func (m Mean) String() string {
 	if math.IsNaN(m.Off) {
 		return fmt.Sprintf("%.4f", m.Mean)
@@ -49,22 +49,22 @@
 	return fmt.Sprintf("%.4f ± %.4f", m.Mean, m.Off)
 }
 
-// Difference of two samples paired by their seeds.
+// Difference is the mean difference of two samples paired by their seeds.
 type Difference struct {
 	Mean
-	P    float64 // of a paired t test: chance of such a mean where there is no difference; NaN: one seed tells nothing
-	Real bool
+	P    float64 // p value of a paired t test; NaN for fewer than two pairs
+	Real bool    // P is below 1-confidence
 }
 
-// difference pairs by seed; what only one side has is left out.
-func difference(a, b map[int64]float64) Difference {
+// pairedDifference pairs values by seed and leaves out seeds that only one side has.
+func pairedDifference(a, b map[int64]float64) Difference {
 	var d []float64
 	for seed, x := range a {
 		if y, both := b[seed]; both {
 			d = append(d, y-x)
 		}
 	}
-	slices.Sort(d) // no map order in a sum
+	slices.Sort(d) // the order of a floating-point sum must not depend on the map's
 	if len(d) == 0 {
 		return Difference{Mean: Mean{Mean: math.NaN(), Off: math.NaN()}, P: math.NaN()}
 	}
@@ -86,8 +86,8 @@
 	return out
 }
 
-// figures that reports and comparisons tell.
-var figures = []struct {
+// metrics are the values that reports and comparisons show.
+var metrics = []struct {
 	Name string
 	Of   func(Run) float64
 }{
@@ -96,8 +96,8 @@
 	{"p99 ms", func(r Run) float64 { return r.P99 }},
 }
 
-// cells are the runs by what was set, in the order of the plan.
-func cells(runs []Run) (order []string, by map[string][]Run) {
+// groupByCell returns the runs by cell, and the cells in the order of the plan.
+func groupByCell(runs []Run) (order []string, by map[string][]Run) {
 	by = map[string][]Run{}
 	for _, r := range runs {
 		if by[r.Cell] == nil {
@@ -108,44 +108,44 @@
 	return order, by
 }
 
-func seeds(runs []Run, of func(Run) float64) map[int64]float64 {
+func bySeed(runs []Run, metric func(Run) float64) map[int64]float64 {
 	out := map[int64]float64{}
 	for _, r := range runs {
-		out[r.Seed] = of(r)
+		out[r.Seed] = metric(r)
 	}
 	return out
 }
 
-func values(runs []Run, of func(Run) float64) (out []float64) {
+func values(runs []Run, metric func(Run) float64) (out []float64) {
 	for _, r := range runs {
-		out = append(out, of(r))
+		out = append(out, metric(r))
 	}
 	return out
 }
 
-// row is one cell of the report.
+// row is the row of one cell in the report.
 type row struct {
 	Cell          string
 	Seeds         int
 	Kept, OK      Mean
 	P50, P99      Mean
 	Breaks        int64
-	Against       Difference // gain kept, to the first cell of the same day and settings
+	Against       Difference // of gain kept, from the first cell of the same scenario and overrides
 	First, Broken bool
 }
 
-func rows(runs []Run) (out []row) {
-	order, by := cells(runs)
-	base := map[string]string{} // the first cell of a day and its settings
+func reportRows(runs []Run) (out []row) {
+	order, by := groupByCell(runs)
+	firstCell := map[string]string{} // by scenario and overrides
 	for _, cell := range order {
 		rs := by[cell]
 		setting := rs[0].Day + " " + rs[0].Set
-		if base[setting] == "" {
-			base[setting] = cell
+		if firstCell[setting] == "" {
+			firstCell[setting] = cell
 		}
-		x := row{Cell: cell, Seeds: len(rs), Kept: meanOf(values(rs, figures[0].Of)), OK: meanOf(values(rs, figures[1].Of)),
-			P50: meanOf(values(rs, func(r Run) float64 { return r.P50 })), P99: meanOf(values(rs, figures[2].Of)), First: base[setting] == cell,
-			Against: difference(seeds(by[base[setting]], figures[0].Of), seeds(rs, figures[0].Of))}
+		x := row{Cell: cell, Seeds: len(rs), Kept: meanOf(values(rs, metrics[0].Of)), OK: meanOf(values(rs, metrics[1].Of)),
+			P50: meanOf(values(rs, func(r Run) float64 { return r.P50 })), P99: meanOf(values(rs, metrics[2].Of)), First: firstCell[setting] == cell,
+			Against: pairedDifference(bySeed(by[firstCell[setting]], metrics[0].Of), bySeed(rs, metrics[0].Of))}
 		for _, r := range rs {
 			x.Breaks += r.Breaks
 		}
@@ -155,14 +155,14 @@
 	return out
 }
 
-// Print writes the table.
+// Print writes a table of the cells.
 func Print(out io.Writer, name string, runs []Run) {
 	t := table.NewWriter()
 	t.SetOutputMirror(out)
 	t.SetStyle(table.StyleLight)
 	t.SetTitle("%s: means over seeds with %.0f%% intervals; differences paired by seed", name, confidence*100)
 	t.AppendHeader(table.Row{"cell", "seeds", "gain kept", "to the day's first", "p", "p99 ms", "rule breaks"})
-	for _, r := range rows(runs) {
+	for _, r := range reportRows(runs) {
 		against, p := "", ""
 		if !r.First {
 			against, p = fmt.Sprintf("%+.4f ± %.4f", r.Against.Mean.Mean, r.Against.Off), fmt.Sprintf("%.3f", r.Against.P)
@@ -172,10 +172,11 @@
 	t.Render()
 }
 
-// Compare tells for each cell that both have whether a difference is real.
+// Compare writes a table of the differences, and whether they are significant, for each cell that both experiments
+// have.
 func Compare(out io.Writer, a, b []Run) {
-	order, byA := cells(a)
-	_, byB := cells(b)
+	order, byA := groupByCell(a)
+	_, byB := groupByCell(b)
 	t := table.NewWriter()
 	t.SetOutputMirror(out)
 	t.SetStyle(table.StyleLight)
@@ -187,8 +188,8 @@
 			continue
 		}
 		both++
-		for _, f := range figures {
-			d := difference(seeds(byA[cell], f.Of), seeds(byB[cell], f.Of))
+		for _, f := range metrics {
+			d := pairedDifference(bySeed(byA[cell], f.Of), bySeed(byB[cell], f.Of))
 			t.AppendRow(table.Row{cell, f.Name, fmt.Sprintf("%.4f", stat.Mean(values(byA[cell], f.Of), nil)),
 				fmt.Sprintf("%+.4f ± %.4f", d.Mean.Mean, d.Off), fmt.Sprintf("%.3f", d.P), map[bool]string{true: "yes", false: "no"}[d.Real]})
 		}
@@ -197,15 +198,15 @@
 	fmt.Fprintf(out, "%d cells in both; %d only in the first, %d only in the second\n", both, len(order)-both, len(byB)-both)
 }
 
-// bars draws means with their intervals.
-func bars(title string, rs []row, of func(row) Mean) (template.HTML, error) {
+// chart draws the means of all rows with their intervals as an SVG image.
+func chart(title string, rs []row, metric func(row) Mean) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text = title
 	var pts plotter.XYs
 	var errs plotter.YErrors
 	var names []string
 	for i, r := range rs {
-		m := of(r)
+		m := metric(r)
 		off := m.Off
 		if math.IsNaN(off) {
 			off = 0
@@ -239,26 +240,26 @@
 	if i := bytes.Index(svg, []byte("<svg")); i > 0 {
 		svg = svg[i:]
 	}
-	return template.HTML(svg), nil //nolint:gosec // drawn here
+	return template.HTML(svg), nil //nolint:gosec // the SVG is drawn above, from no outside text
 }
 
 //go:embed report.html.tmpl
-var page string
+var pageTemplate string
 
-// Report writes report.html, a page that opens from disk.
+// Report writes report.html, a self-contained page, to dir.
 func Report(dir, name string, runs []Run) error {
-	rs := rows(runs)
-	kept, err := bars("gain kept", rs, func(r row) Mean { return r.Kept })
+	rs := reportRows(runs)
+	kept, err := chart("gain kept", rs, func(r row) Mean { return r.Kept })
 	if err != nil {
 		return err
 	}
-	p99, err := bars("p99 of ok, ms", rs, func(r row) Mean { return r.P99 })
+	p99, err := chart("p99 of ok, ms", rs, func(r row) Mean { return r.P99 })
 	if err != nil {
 		return err
 	}
 	t, err := template.New("report").Funcs(template.FuncMap{"next": func(i int) int { return i + 1 },
 		"round": func(f float64) string { return fmt.Sprintf("%.0f", f) }, "four": func(f float64) string { return fmt.Sprintf("%+.4f", f) },
-		"three": func(f float64) string { return fmt.Sprintf("%.3f", f) }}).Parse(page)
+		"three": func(f float64) string { return fmt.Sprintf("%.3f", f) }}).Parse(pageTemplate)
 	if err != nil {
 		return err
 	}
