--- a/cmd/mallowlanding/emulate.go
+++ b/cmd/mallowlanding/emulate.go
@@ -166,6 +166,6 @@
 	if err := settings.Write(c.Out, "scenario", f.Scenario); err != nil {
 		return err
 	}
-	fmt.Fprintf(e.out, "%s: module %.3f, oracle %.3f, %d rule breaks, after %d days\n", c.Out, f.Kept, f.Oracle, f.Breaks, f.Tried)
+	fmt.Fprintf(e.out, "%s: module %.3f, oracle %.3f, %d rule breaks, after %d days\n", c.Out, f.RouterShare, f.OracleShare, f.Breaks, f.Evaluated)
 	return nil
 }
--- a/internal/scenariosearch/hunt.go
+++ b/internal/scenariosearch/hunt.go
@@ -1,5 +1,6 @@
-// Package scenariosearch looks for the small day on which the program does worst: against the oracle, or by breaking a rule. It
-// draws days by chance from one seed, takes the worst, and shrinks it while it stays as bad.
+// Package scenariosearch searches for a small scenario on which the router does worst: it loses the most gain compared
+// with the oracle baseline, or breaks a rule. It draws random scenarios from one seed, takes the worst, and reduces it
+// while the result stays nearly as bad.
 package scenariosearch
 
 import (
@@ -17,61 +18,62 @@
 	"mallowlanding/router"
 )
 
-// stays is the share of what was found that a smaller day must still show.
-const stays = 0.8
+// minScoreShare is the share of the worst score that a reduced scenario must still reach.
+const minScoreShare = 0.8
 
-// broken is what a day with a broken rule counts, above any loss of gain.
-const broken = 10
+// breakScore is added to the score of a scenario with a broken rule; it exceeds any loss of gain.
+const breakScore = 10
 
-// troubles are what days are drawn from, with the sizes that mean something for each.
+// troubles are the kinds of trouble to draw from, each with its range of useful sizes.
 var troubles = []struct {
-	kind        string
-	least, most float64
+	kind             string
+	minSize, maxSize float64
 }{{"burst", 1.5, 4}, {"crash", 1, 1}, {"hang", 1, 1}, {"slow", 2, 10}, {"slow-function", 3, 30}, {"fast-errors", 0.2, 1},
 	{"load-fails", 0.2, 1}, {"report-late", 1, 4}, {"deploy", 0.2, 1}, {"preempt", 1, 1}, {"ageing", 2, 8}, {"flush", 0.3, 1},
 	{"scan", 1, 1}, {"close", 1, 1}, {"front-end-kill", 1, 1}, {"front-end-stall", 1, 1}, {"front-end-roll", 1, 1},
 	{"answers-lost", 0.2, 1}, {"cut-to-workers", 1, 1}, {"cut-from-workers", 1, 1}, {"clock-step", 1, 10}}
 
-// Found is a day and how bad it is.
-type Found struct {
-	Scenario *settings.Scenario
-	Kept     float64 // by the module
-	Oracle   float64
-	Breaks   int
-	Tried    int // days, shrinking included
+// Candidate is a scenario with the results of the router and the oracle.
+type Candidate struct {
+	Scenario    *settings.Scenario
+	RouterShare float64 // share of gain kept by the router
+	OracleShare float64
+	Breaks      int
+	Evaluated   int // scenarios evaluated, reductions included
 }
 
-// Score is what is looked for: gain lost to the oracle, and far above it a broken rule.
-func (f *Found) Score() float64 {
-	score := f.Oracle - f.Kept
+// Score returns the value that the search maximizes: the oracle's share of gain less the router's, plus breakScore if a
+// rule is broken.
+func (f *Candidate) Score() float64 {
+	score := f.OracleShare - f.RouterShare
 	if f.Breaks > 0 {
-		score += broken
+		score += breakScore
 	}
 	return score
 }
 
-// Run draws so many days around base and returns the worst, shrunk. Say is told of progress.
-func Run(ctx context.Context, base *settings.Scenario, seed int64, tries int, say func(string)) (*Found, error) {
+// Run draws tries scenarios around base and returns the worst after reduction. It calls report with lines of progress.
+func Run(ctx context.Context, base *settings.Scenario, seed int64, tries int, report func(string)) (*Candidate, error) {
 	rng := rand.New(rand.NewSource(seed))
-	days := make([]*settings.Scenario, tries)
-	for i := range days {
-		days[i] = draw(base, rng)
+	scenarios := make([]*settings.Scenario, tries)
+	for i := range scenarios {
+		scenarios[i] = randomScenario(base, rng)
 	}
-	found := make([]*Found, tries)
+	found := make([]*Candidate, tries)
 	group, inner := errgroup.WithContext(ctx)
 	group.SetLimit(runtime.NumCPU())
 	var mu sync.Mutex
-	worst := 0.0
-	for i := range days {
+	worstScore := 0.0
+	for i := range scenarios {
 		group.Go(func() (err error) {
-			if found[i], err = judge(inner, days[i]); err != nil {
+			if found[i], err = evaluate(inner, scenarios[i]); err != nil {
 				return err
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			if found[i].Score() > worst {
-				worst = found[i].Score()
-				say(fmt.Sprintf("day %d of %d: module %.3f, oracle %.3f, %d breaks", i+1, tries, found[i].Kept, found[i].Oracle, found[i].Breaks))
+			if found[i].Score() > worstScore {
+				worstScore = found[i].Score()
+				report(fmt.Sprintf("scenario %d of %d: router %.3f, oracle %.3f, %d rule breaks", i+1, tries, found[i].RouterShare, found[i].OracleShare, found[i].Breaks))
 			}
 			return nil
 		})
@@ -79,7 +81,7 @@
 	if err := group.Wait(); err != nil {
 		return nil, err
 	}
-	best := slices.MaxFunc(found, func(a, b *Found) int {
+	worst := slices.MaxFunc(found, func(a, b *Candidate) int {
 		if a.Score() < b.Score() {
 			return -1
 		} else if a.Score() > b.Score() {
@@ -87,11 +89,11 @@
 		}
 		return 0
 	})
-	return shrink(ctx, best, tries, say)
+	return shrink(ctx, worst, tries, report)
 }
 
-// judge plays a day by the module and by the oracle.
-func judge(ctx context.Context, s *settings.Scenario) (*Found, error) {
+// evaluate plays a scenario with the router and with the oracle.
+func evaluate(ctx context.Context, s *settings.Scenario) (*Candidate, error) {
 	m, err := emulate.Run(ctx, s, "")
 	if err != nil {
 		return nil, err
@@ -100,11 +102,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Found{Scenario: s, Kept: m.GainShare(), Oracle: o.GainShare(), Breaks: len(m.Audit.Breaks)}, nil
+	return &Candidate{Scenario: s, RouterShare: m.GainShare(), OracleShare: o.GainShare(), Breaks: len(m.Audit.Breaks)}, nil
 }
 
-// draw makes a day: another fleet, another load, up to four troubles.
-func draw(base *settings.Scenario, rng *rand.Rand) *settings.Scenario {
+// randomScenario varies base: another fleet, another load, and one to four troubles.
+func randomScenario(base *settings.Scenario, rng *rand.Rand) *settings.Scenario {
 	s := clone(base)
 	s.Seed = rng.Int63n(1 << 40)
 	s.Fleet.FrontEnds = 1 + rng.Intn(6)
@@ -119,7 +121,7 @@
 	for range 1 + rng.Intn(4) {
 		t := troubles[rng.Intn(len(troubles))]
 		s.Troubles = append(s.Troubles, settings.Trouble{Kind: t.kind, At: router.Time(rng.Int63n(int64(s.Length) * 2 / 3)),
-			For: 5000 + router.Time(rng.Int63n(int64(s.Length)/3)), Part: 0.05 + 0.6*rng.Float64(), Size: t.least + (t.most-t.least)*rng.Float64()})
+			For: 5000 + router.Time(rng.Int63n(int64(s.Length)/3)), Part: 0.05 + 0.6*rng.Float64(), Size: t.minSize + (t.maxSize-t.minSize)*rng.Float64()})
 	}
 	return s
 }
@@ -132,8 +134,8 @@
 	return &out
 }
 
-// smaller are the days one step smaller than s.
-func smaller(s *settings.Scenario) (out []*settings.Scenario) {
+// reductions returns the scenarios that are one step smaller than s.
+func reductions(s *settings.Scenario) (out []*settings.Scenario) {
 	with := func(change func(s *settings.Scenario)) {
 		c := clone(s)
 		change(c)
@@ -179,27 +181,27 @@
 	return out
 }
 
-// shrink takes the first smaller day that is still as bad, until none is.
-func shrink(ctx context.Context, f *Found, tried int, say func(string)) (*Found, error) {
-	enough := stays * f.Score()
+// shrink replaces the scenario by its first reduction that still has the minimum score, until there is none.
+func shrink(ctx context.Context, f *Candidate, evaluated int, report func(string)) (*Candidate, error) {
+	minScore := minScoreShare * f.Score()
 	if f.Breaks > 0 {
-		enough = broken - 1
+		minScore = breakScore - 1
 	}
 	for again := true; again; {
 		again = false
-		for _, s := range smaller(f.Scenario) {
-			next, err := judge(ctx, s)
+		for _, s := range reductions(f.Scenario) {
+			next, err := evaluate(ctx, s)
 			if err != nil {
 				return nil, err
 			}
-			if tried++; next.Score() >= enough {
+			if evaluated++; next.Score() >= minScore {
 				f, again = next, true
-				say(fmt.Sprintf("smaller: %d troubles, %d front ends, module %.3f, oracle %.3f, %d breaks", len(s.Troubles), s.Fleet.FrontEnds,
-					next.Kept, next.Oracle, next.Breaks))
+				report(fmt.Sprintf("reduced to %d troubles, %d front ends: router %.3f, oracle %.3f, %d rule breaks", len(s.Troubles), s.Fleet.FrontEnds,
+					next.RouterShare, next.OracleShare, next.Breaks))
 				break
 			}
 		}
 	}
-	f.Tried = tried
+	f.Evaluated = evaluated
 	return f, nil
 }
--- a/internal/scenariosearch/hunt_test.go
+++ b/internal/scenariosearch/hunt_test.go
@@ -10,27 +10,28 @@
 	"mallowlanding/internal/settings"
 )
 
-// A hunt is the same for a seed; what it keeps is no larger than what it found, as bad, and replays from its file.
-func TestHunt(t *testing.T) {
+// A search finds a scenario with a positive score and reduces it. No reduction of the result scores much higher, and the
+// result replays identically from its file.
+func TestSearch(t *testing.T) {
 	base, err := settings.ReadScenario("../emulate/testdata/short.xml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	said := 0
-	f, err := Run(context.Background(), base, 5, 12, func(string) { said++ })
+	reports := 0
+	f, err := Run(context.Background(), base, 5, 12, func(string) { reports++ })
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.Score() <= 0 || said == 0 || f.Tried <= 12 {
-		t.Fatalf("%+v, %d said", f, said)
+	if f.Score() <= 0 || reports == 0 || f.Evaluated <= 12 {
+		t.Fatalf("%+v, %d lines of progress", f, reports)
 	}
-	for _, s := range smaller(f.Scenario) {
-		next, err := judge(context.Background(), s)
+	for _, s := range reductions(f.Scenario) {
+		next, err := evaluate(context.Background(), s)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if next.Score() >= f.Score()/stays {
-			t.Errorf("a smaller day is worse: %.3f to %.3f", next.Score(), f.Score())
+		if next.Score() >= f.Score()/minScoreShare {
+			t.Errorf("a reduction scores %.3f, the result only %.3f", next.Score(), f.Score())
 		}
 	}
 	file := filepath.Join(t.TempDir(), "worst.xml")
@@ -50,6 +51,6 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(a.Records, b.Records) {
-		t.Error("what was kept replays otherwise")
+		t.Error("the saved scenario gives other records")
 	}
 }
