--- a/cmd/mallowlanding/main.go
+++ b/cmd/mallowlanding/main.go
@@ -296,8 +296,8 @@
 	if err != nil {
 		return err
 	}
-	o := measure.Options{Span: c.Span, Workers: c.Workers, Cores: c.Cores, Payload: c.Payload, Functions: c.Functions,
-		Rate: c.Rate, Work: c.Work}
+	o := measure.Options{Duration: c.Span, Workers: c.Workers, FrontEndCores: c.Cores, PayloadBytes: c.Payload, Functions: c.Functions,
+		Rate: c.Rate, WorkTime: c.Work}
 	if c.Batching {
 		return measure.Batching(e.ctx, exe, o, []float64{200, 400, 800, 1200, 1600}, e.out)
 	}
@@ -308,7 +308,7 @@
 		return measure.Crashes(e.ctx, exe, c.Crashes, e.out)
 	}
 	if c.Fronts {
-		return measure.Fronts(e.ctx, exe, o, []int{1 << 10, 1 << 20}, e.out)
+		return measure.Protocols(e.ctx, exe, o, []int{1 << 10, 1 << 20}, e.out)
 	}
 	if c.Flood {
 		return measure.Flood(e.ctx, exe, o, e.out)
--- a/internal/measure/batching.go
+++ b/internal/measure/batching.go
@@ -12,21 +12,21 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// softMs is the soft deadline of the batching measure, in ms.
-const softMs = 200
+// softDeadlineMs is the soft deadline of the method that is measured, in ms.
+const softDeadlineMs = 200
 
-// Batching measures one idempotent method under rising load with batches of up to eight and without: throughput, and
-// the share answered within the soft deadline. The stand-in workers' batches cost a fifth of an RPC for each but the
-// first.
+// Batching measures one idempotent method under rising load, with batches of up to eight RPCs and without: the
+// throughput, and the share answered within the soft deadline. In the batches of the stand-in workers, each RPC but the
+// first costs a fifth of a single RPC.
 func Batching(ctx context.Context, exe string, o Options, rates []float64, out io.Writer) error {
 	w := table.NewWriter()
 	w.SetOutputMirror(out)
 	w.SetStyle(table.StyleLight)
-	w.SetTitle("batches under rising load; %d stand-in workers of 2 cores, %v an RPC, soft deadline %d ms", o.Workers, o.Work, softMs)
+	w.SetTitle("batches under rising load; %d stand-in workers of 2 cores, %v an RPC, soft deadline %d ms", o.Workers, o.WorkTime, softDeadlineMs)
 	w.AppendHeader(table.Row{"load a second", "batch", "ok a second", "in the soft deadline", "not ok", "p50 ms", "p99 ms"})
 	for _, batch := range []int{1, 8} {
-		o.Batch = batch
-		if err := batching(ctx, exe, o, rates, w); err != nil {
+		o.MaxBatch = batch
+		if err := measureBatching(ctx, exe, o, rates, w); err != nil {
 			return err
 		}
 	}
@@ -35,7 +35,7 @@
 	return ctx.Err()
 }
 
-func batching(ctx context.Context, exe string, o Options, rates []float64, w table.Writer) error {
+func measureBatching(ctx context.Context, exe string, o Options, rates []float64, w table.Writer) error {
 	dir, err := os.MkdirTemp("", "mallow")
 	if err != nil {
 		return err
@@ -46,10 +46,10 @@
 	var procs, conns errgroup.Group
 	defer func() { end(); _ = procs.Wait(); _ = conns.Wait() }()
 	o.WorkerCores = 2
-	if err := start(ctx, &procs, exe, dir, o, "", ""); err != nil {
+	if err := startSystem(ctx, &procs, exe, dir, o, "", ""); err != nil {
 		return err
 	}
-	y := way{name: "batch", method: "query", params: func(f int) []byte {
+	t := target{name: "batch", method: "query", params: func(f int) []byte {
 		return append(strconv.AppendInt([]byte(`{"function":"f`), int64(f), 10), `"}`...)
 	}}
 	for range 4 {
@@ -57,20 +57,20 @@
 		if err != nil {
 			return err
 		}
-		y.conns = append(y.conns, c)
+		t.conns = append(t.conns, c)
 	}
-	y.warm(ctx, o)
+	t.warmUp(ctx, o)
 	for _, rate := range rates {
-		r := y.openLoop(ctx, rate, o.Span, o)
+		r := t.openLoop(ctx, rate, o.Duration, o)
 		within := int64(0)
-		for _, bar := range r.ok.Distribution() {
-			if bar.To <= softMs*1000 {
-				within += bar.Count
+		for _, bucket := range r.okLatency.Distribution() {
+			if bucket.To <= softDeadlineMs*1000 {
+				within += bucket.Count
 			}
 		}
-		ms := func(q float64) string { return fmt.Sprintf("%.1f", float64(r.ok.ValueAtQuantile(q))/1000) }
-		sent := r.h.TotalCount()
-		w.AppendRow(table.Row{fmt.Sprintf("%.0f", rate), o.Batch, fmt.Sprintf("%.0f", float64(sent-r.failed)/o.Span.Seconds()),
+		ms := func(q float64) string { return fmt.Sprintf("%.1f", float64(r.okLatency.ValueAtQuantile(q))/1000) }
+		sent := r.latency.TotalCount()
+		w.AppendRow(table.Row{fmt.Sprintf("%.0f", rate), o.MaxBatch, fmt.Sprintf("%.0f", float64(sent-r.failed)/o.Duration.Seconds()),
 			fmt.Sprintf("%.3f", float64(within)/float64(max(sent, 1))), r.failed, ms(50), ms(99)})
 	}
 	return nil
--- a/internal/measure/config.go
+++ b/internal/measure/config.go
@@ -28,20 +28,21 @@
 	"mallowlanding/internal/settings"
 )
 
-// submits is how many versions each size of fleet is timed with.
-const submits = 20
+// versionCount is the number of versions submitted for each measurement.
+const versionCount = 20
 
-// Configuration times versions from submit until all followers have accepted them, at the given sizes; followers are in
-// this process, each with its own state and file, and the three instances are processes. Then the pause of one front
-// end's turn that takes over a version of many lines.
+// Configuration measures the time from the submission of a version until all followers have accepted it, for the given
+// numbers of followers. Followers run in this process, each with its own state and file; the three instances of the
+// control service are processes. It then measures how long a turn of a front end's event loop takes that applies a
+// version of many lines.
 func Configuration(ctx context.Context, exe string, sizes []int, lines int, out io.Writer) error {
 	w := table.NewWriter()
 	w.SetOutputMirror(out)
 	w.SetStyle(table.StyleLight)
-	w.SetTitle("from submit to accepted by all, in one stage; three instances, %d versions each", submits)
+	w.SetTitle("from submit to accepted by all, in one stage; three instances, %d versions each", versionCount)
 	w.AppendHeader(table.Row{"followers", "median ms", "longest ms", "of it until numbered, median ms"})
 	for _, n := range sizes {
-		all, numbered, err := followers(ctx, exe, n)
+		all, numbered, err := timeFollowers(ctx, exe, n)
 		if err != nil {
 			return err
 		}
@@ -50,13 +51,13 @@
 		w.AppendRow(table.Row{n, ms(all[len(all)/2]), ms(all[len(all)-1]), ms(numbered[len(numbered)/2])})
 	}
 	w.Render()
-	return pause(ctx, exe, lines, out)
+	return measurePause(ctx, exe, lines, out)
 }
 
 func ms(d time.Duration) string { return fmt.Sprintf("%.1f", float64(d)/float64(time.Millisecond)) }
 
-// instances runs a control service.
-func instances(ctx context.Context, procs *errgroup.Group, exe, dir string, n int) ([]string, error) {
+// startControlService starts a control service of n instances and returns their sockets.
+func startControlService(ctx context.Context, procs *errgroup.Group, exe, dir string, n int) ([]string, error) {
 	var sockets []string
 	for i := range n {
 		others := ""
@@ -72,7 +73,7 @@
 		if err := os.WriteFile(file, []byte(doc), 0o600); err != nil {
 			return nil, err
 		}
-		if err := child(ctx, procs, exe, "control", file); err != nil {
+		if err := startProcess(ctx, procs, exe, "control", file); err != nil {
 			return nil, err
 		}
 		sockets = append(sockets, filepath.Join(dir, name+".sock"))
@@ -80,16 +81,16 @@
 	return sockets, nil
 }
 
-// checked is a version that a follower without a front end has looked at as one does.
-type checked struct{}
+// checkedChange is a version that passed the check of a follower that has no front end to change.
+type checkedChange struct{}
 
-// Apply implements steer.Change.
-func (checked) Apply() error { return nil }
+// Apply implements configclient.Change.
+func (checkedChange) Apply() error { return nil }
 
-// Discard implements steer.Change.
-func (checked) Discard() {}
+// Discard implements configclient.Change.
+func (checkedChange) Discard() {}
 
-func followers(ctx context.Context, exe string, n int) (all, numbered []time.Duration, err error) {
+func timeFollowers(ctx context.Context, exe string, n int) (all, numbered []time.Duration, err error) {
 	dir, err := os.MkdirTemp("", "mallow")
 	if err != nil {
 		return nil, nil, err
@@ -99,7 +100,7 @@
 	defer end()
 	var procs, running errgroup.Group
 	defer func() { end(); _ = running.Wait(); _ = procs.Wait() }()
-	sockets, err := instances(ctx, &procs, exe, dir, 3)
+	sockets, err := startControlService(ctx, &procs, exe, dir, 3)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -118,28 +119,28 @@
 			RedialMin: 20 * time.Millisecond, RedialMax: 200 * time.Millisecond, ReportInterval: 500 * time.Millisecond,
 			Check: func(v uint64, text string) (configclient.Change, error) {
 				_, err := settings.ReadConfiguration(fmt.Sprintf("version %d", v), strings.NewReader(text))
-				return checked{}, err
+				return checkedChange{}, err
 			}, Log: zerolog.Nop()}
 		s := configclient.New(o, configclient.Initial{Source: "own settings"})
 		fleet = append(fleet, s)
 		running.Go(func() error { return s.Run(ctx) })
 	}
 	until := func(what string, is func(configclient.Status) bool) error {
-		for give := time.Now().Add(30 * time.Second); ; time.Sleep(200 * time.Microsecond) {
+		for giveUp := time.Now().Add(30 * time.Second); ; time.Sleep(200 * time.Microsecond) {
 			if !slices.ContainsFunc(fleet, func(s *configclient.Client) bool { return !is(s.Status()) }) {
 				return nil
 			}
-			if time.Now().After(give) || ctx.Err() != nil {
-				return fmt.Errorf("%d followers: not all are %s", n, what)
+			if time.Now().After(giveUp) || ctx.Err() != nil {
+				return fmt.Errorf("%d followers: some are not %s", n, what)
 			}
 		}
 	}
 	if err := until("connected", func(s configclient.Status) bool { return s.Connected }); err != nil {
 		return nil, nil, err
 	}
-	for i := range submits {
+	for i := range versionCount {
 		begin := time.Now()
-		v, err := c.Submit(ctx, &wire.SubmitRequest{Text: document(20, i)})
+		v, err := c.Submit(ctx, &wire.SubmitRequest{Text: configurationText(20, i)})
 		if err != nil {
 			return nil, nil, err
 		}
@@ -148,7 +149,7 @@
 			return nil, nil, err
 		}
 		all = append(all, time.Since(begin))
-		for { // until the service knows it, too
+		for { // wait until the service, too, reports the version as stable
 			if _, st, err := c.Leader(ctx); err != nil {
 				return nil, nil, err
 			} else if st.Stable == v {
@@ -160,8 +161,8 @@
 	return all, numbered, nil
 }
 
-// document is a configuration of about so many lines; n makes it differ.
-func document(lines, n int) string {
+// configurationText returns a configuration of about the given number of lines. Its values depend on n.
+func configurationText(lines, n int) string {
 	var b strings.Builder
 	b.WriteString("<configuration>\n  <service>\n")
 	for i := range lines / 3 {
@@ -179,8 +180,8 @@
 	return b.String()
 }
 
-// pause measures the turn that takes over a version of many lines, while RPCs go through.
-func pause(ctx context.Context, exe string, lines int, out io.Writer) error {
+// measurePause measures the turn of a front end's event loop that applies a version of many lines.
+func measurePause(ctx context.Context, exe string, lines int, out io.Writer) error {
 	dir, err := os.MkdirTemp("", "mallow")
 	if err != nil {
 		return err
@@ -190,20 +191,20 @@
 	defer end()
 	var procs, conns errgroup.Group
 	defer func() { end(); _ = procs.Wait(); _ = conns.Wait() }()
-	sockets, err := instances(ctx, &procs, exe, dir, 1)
+	sockets, err := startControlService(ctx, &procs, exe, dir, 1)
 	if err != nil {
 		return err
 	}
-	o := Options{Workers: 2, Cores: 2}
-	o.Control = fmt.Sprintf(`<control sockets=%q keep="%s/kept"/>`, sockets[0], dir)
-	if err := start(ctx, &procs, exe, dir, o, "", ""); err != nil {
+	o := Options{Workers: 2, FrontEndCores: 2}
+	o.ControlElement = fmt.Sprintf(`<control sockets=%q keep="%s/kept"/>`, sockets[0], dir)
+	if err := startSystem(ctx, &procs, exe, dir, o, "", ""); err != nil {
 		return err
 	}
-	at, err := connect(ctx, &conns, filepath.Join(dir, "front.sock"))
+	frontEnd, err := connect(ctx, &conns, filepath.Join(dir, "front.sock"))
 	if err != nil {
 		return err
 	}
-	defer at.Close()
+	defer frontEnd.Close()
 	c, err := control.Dial(sockets)
 	if err != nil {
 		return err
@@ -211,14 +212,14 @@
 	defer c.Close()
 	var turns []float64
 	var applied []time.Duration
-	for i := range submits {
+	for i := range versionCount {
 		begin := time.Now()
-		v, err := c.Submit(ctx, &wire.SubmitRequest{Text: document(lines, i)})
+		v, err := c.Submit(ctx, &wire.SubmitRequest{Text: configurationText(lines, i)})
 		if err != nil {
 			return err
 		}
 		for {
-			s, err := statusOf(ctx, at)
+			s, err := statusOf(ctx, frontEnd)
 			if err != nil {
 				return err
 			}
@@ -236,20 +237,20 @@
 	slices.Sort(turns)
 	slices.Sort(applied)
 	fmt.Fprintf(out, "a version of %d lines at one front end: its turn stands %.0f us at the median, %.0f us at the most; in force %s ms after submit\n",
-		strings.Count(document(lines, 0), "\n"), turns[len(turns)/2], turns[len(turns)-1], ms(applied[len(applied)/2]))
+		strings.Count(configurationText(lines, 0), "\n"), turns[len(turns)/2], turns[len(turns)-1], ms(applied[len(applied)/2]))
 	return ctx.Err()
 }
 
-// Crashes kills an instance of its own again and again at random moments while versions are submitted, and looks after
-// each whether all that was acknowledged is there, under one number each.
+// Crashes kills an instance of the control service repeatedly at random moments while versions are submitted. After
+// each restart it checks that every acknowledged version is there, each under its own number.
 func Crashes(ctx context.Context, exe string, times int, out io.Writer) error {
-	side := min(4, runtime.NumCPU())
+	parallel := min(4, runtime.NumCPU())
 	var group errgroup.Group
 	var mu sync.Mutex
 	kills, acked := 0, 0
-	for i := range side {
+	for i := range parallel {
 		group.Go(func() error {
-			n, a, err := crashes(ctx, exe, times/side, int64(i+1))
+			n, a, err := crashSeries(ctx, exe, times/parallel, int64(i+1))
 			mu.Lock()
 			defer mu.Unlock()
 			kills, acked = kills+n, acked+a
@@ -262,7 +263,7 @@
 	return err
 }
 
-func crashes(ctx context.Context, exe string, times int, seed int64) (kills, acked int, err error) {
+func crashSeries(ctx context.Context, exe string, times int, seed int64) (kills, acked int, err error) {
 	dir, err := os.MkdirTemp("", "mallow")
 	if err != nil {
 		return 0, 0, err
@@ -276,9 +277,9 @@
 	}
 	digests := map[uint64]string{}
 	highest := uint64(0)
-	text := 0
+	documents := 0
 	for ; kills < times && ctx.Err() == nil; kills++ {
-		n, err := oneCrash(ctx, exe, file, socket, rng, digests, &highest, &text)
+		n, err := crashOnce(ctx, exe, file, socket, rng, digests, &highest, &documents)
 		acked += n
 		if err != nil {
 			return kills, acked, err
@@ -287,9 +288,9 @@
 	return kills, acked, ctx.Err()
 }
 
-// oneCrash runs the instance, holds it against what it acknowledged before, and kills it while it numbers more.
-func oneCrash(ctx context.Context, exe, file, socket string, rng *rand.Rand, digests map[uint64]string, highest *uint64,
-	text *int) (acked int, err error) {
+// crashOnce starts the instance, checks the versions that it acknowledged before, and kills it while it numbers more.
+func crashOnce(ctx context.Context, exe, file, socket string, rng *rand.Rand, digests map[uint64]string, highest *uint64,
+	documents *int) (acked int, err error) {
 	cmd := exec.Command(exe, "--log-level", "error", "control", file)
 	cmd.Stderr = os.Stderr
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -304,9 +305,9 @@
 		return 0, err
 	}
 	defer c.Close()
-	one, stop := context.WithTimeout(ctx, 60*time.Second)
-	defer stop()
-	_, st, err := c.Leader(one)
+	callCtx, cancel := context.WithTimeout(ctx, 60*time.Second)
+	defer cancel()
+	_, st, err := c.Leader(callCtx)
 	if err != nil {
 		return 0, err
 	}
@@ -315,25 +316,25 @@
 		seen[v.Version] = v.Digest
 	}
 	for v, digest := range digests {
-		if v+900 > *highest && seen[v] != digest { // the status tells the last thousand
-			return 0, fmt.Errorf("version %d was acknowledged and is %q, not %q", v, seen[v], digest)
+		if v+900 > *highest && seen[v] != digest { // the status lists only the last 1000 versions
+			return 0, fmt.Errorf("version %d has digest %q, but was acknowledged with %q", v, seen[v], digest)
 		}
 	}
-	timer := time.AfterFunc(time.Duration(rng.Intn(30000))*time.Microsecond, func() { end(); stop() })
+	timer := time.AfterFunc(time.Duration(rng.Intn(30000))*time.Microsecond, func() { end(); cancel() })
 	defer timer.Stop()
 	for {
-		*text++
-		doc := document(6, *text)
+		*documents++
+		doc := configurationText(6, *documents)
 		canonical, _, err := configdiff.Canonical("document", doc)
 		if err != nil {
 			return acked, err
 		}
-		v, err := c.Submit(one, &wire.SubmitRequest{Text: doc})
-		if err != nil { // it is dead
+		v, err := c.Submit(callCtx, &wire.SubmitRequest{Text: doc})
+		if err != nil { // the instance was killed
 			return acked, nil
 		}
 		if v <= *highest {
-			return acked, fmt.Errorf("number %d was given after %d", v, *highest)
+			return acked, fmt.Errorf("version %d was assigned after version %d", v, *highest)
 		}
 		*highest, digests[v] = v, configdiff.Digest(canonical)
 		acked++
--- a/internal/measure/flood.go
+++ b/internal/measure/flood.go
@@ -16,31 +16,32 @@
 	"mallowlanding/internal/jsonrpc"
 )
 
-// Flood measures one client's single RPCs, one each 20 ms, beside a neighbour that keeps thousands open in batches:
-// with the gate's fair turns (held="16", the default) and without (held="0").
+// Flood measures one client that sends a single RPC after another with pauses of 20 ms, beside a neighbour that keeps
+// thousands of RPCs open: with fair queuing by the front end's admission (held="16", the default) and without
+// (held="0").
 func Flood(ctx context.Context, exe string, o Options, out io.Writer) error {
 	w := table.NewWriter()
 	w.SetOutputMirror(out)
 	w.SetStyle(table.StyleLight)
-	w.SetTitle("single RPCs beside a neighbour that keeps 5,000 open; %d stand-in workers, %v an RPC", o.Workers, o.Work)
+	w.SetTitle("single RPCs beside a neighbour that keeps 5,000 open; %d stand-in workers, %v an RPC", o.Workers, o.WorkTime)
 	w.AppendHeader(table.Row{"", "neighbour's RPCs/s", "single: sent", "not ok", "p50 ms", "p99 ms"})
 	for _, c := range []struct {
 		name string
 		held int
 		open int
 	}{{"alone", 16, 0}, {"fair turns", 16, 5000}, {"without", 0, 5000}} {
-		r, rate, err := flood(ctx, exe, o, c.held, c.open)
+		r, rate, err := measureFlood(ctx, exe, o, c.held, c.open)
 		if err != nil {
 			return err
 		}
-		ms := func(q float64) string { return fmt.Sprintf("%.1f", float64(r.h.ValueAtQuantile(q))/1000) }
-		w.AppendRow(table.Row{c.name, fmt.Sprintf("%.0f", rate), r.h.TotalCount(), r.failed, ms(50), ms(99)})
+		ms := func(q float64) string { return fmt.Sprintf("%.1f", float64(r.latency.ValueAtQuantile(q))/1000) }
+		w.AppendRow(table.Row{c.name, fmt.Sprintf("%.0f", rate), r.latency.TotalCount(), r.failed, ms(50), ms(99)})
 	}
 	w.Render()
 	return ctx.Err()
 }
 
-func flood(ctx context.Context, exe string, o Options, held, open int) (r result, rate float64, err error) {
+func measureFlood(ctx context.Context, exe string, o Options, maxHeld, openRPCs int) (r result, rate float64, err error) {
 	dir, err := os.MkdirTemp("", "mallow")
 	if err != nil {
 		return r, 0, err
@@ -50,7 +51,7 @@
 	defer end()
 	var procs, conns errgroup.Group
 	defer func() { end(); _ = procs.Wait(); _ = conns.Wait() }()
-	if err := start(ctx, &procs, exe, dir, o, fmt.Sprintf(`held="%d"`, held), ""); err != nil {
+	if err := startSystem(ctx, &procs, exe, dir, o, fmt.Sprintf(`held="%d"`, maxHeld), ""); err != nil {
 		return r, 0, err
 	}
 	dial := func() (*jsonrpc.Caller, error) { return connect(ctx, &conns, filepath.Join(dir, "front.sock")) }
@@ -63,7 +64,7 @@
 		return r, 0, err
 	}
 	params := func(f int) []byte { return append(strconv.AppendInt([]byte(`{"function":"f`), int64(f), 10), `"}`...) }
-	for f := range o.Functions { // warm
+	for f := range o.Functions { // load the functions
 		single.Call(ctx, "query", params(f))
 	}
 	var done atomic.Int64
@@ -71,7 +72,7 @@
 	var again func(n int)
 	again = func(n int) {
 		neighbour.CallAsync("query", params(n%o.Functions), func(a jsonrpc.Response) {
-			if a.Err == nil && time.Since(begin) < o.Span {
+			if a.Err == nil && time.Since(begin) < o.Duration {
 				if a.Code == 0 {
 					done.Add(1)
 				}
@@ -79,17 +80,17 @@
 			}
 		})
 	}
-	for n := range open {
+	for n := range openRPCs {
 		again(n)
 	}
 	time.Sleep(500 * time.Millisecond)
-	r.h = histogram()
-	for n := 0; time.Since(begin) < o.Span && ctx.Err() == nil; n++ {
+	r.latency = histogram()
+	for n := 0; time.Since(begin) < o.Duration && ctx.Err() == nil; n++ {
 		sent := time.Now()
 		if a := single.Call(ctx, "query", params(n%o.Functions)); a.Err != nil || a.Code != 0 {
 			r.failed++
 		}
-		_ = r.h.RecordValue(time.Since(sent).Microseconds())
+		_ = r.latency.RecordValue(time.Since(sent).Microseconds())
 		time.Sleep(20 * time.Millisecond)
 	}
 	return r, float64(done.Load()) / time.Since(begin).Seconds(), nil
--- a/internal/measure/fronts.go
+++ b/internal/measure/fronts.go
@@ -26,12 +26,12 @@
 	"mallowlanding/internal/kserve/oip"
 )
 
-// frontWorkers is how many RPCs are kept at work through each front.
-const frontWorkers = 32
+// protocolConcurrency is the number of RPCs kept in flight through each protocol.
+const protocolConcurrency = 32
 
-// Fronts measures the same warm function through JSON-RPC, HTTP and gRPC, one front after the other in one run, with
-// tensors of the given sizes in bytes that the stand-in model gives back.
-func Fronts(ctx context.Context, exe string, o Options, sizes []int, out io.Writer) error {
+// Protocols measures the same warm function through JSON-RPC, HTTP and gRPC, one protocol after the other in one run,
+// with tensors of the given sizes in bytes that the stand-in model returns unchanged.
+func Protocols(ctx context.Context, exe string, o Options, sizes []int, out io.Writer) error {
 	dir, err := os.MkdirTemp("", "mallow")
 	if err != nil {
 		return err
@@ -43,48 +43,48 @@
 	defer func() { end(); _ = procs.Wait(); _ = conns.Wait() }()
 	kserve := fmt.Sprintf(`<kserve socket="%[1]s/http.sock" grpc-socket="%[1]s/grpc.sock" body-bytes="16777216">
 <model name="identity" method="query" function="f0"/></kserve>`, dir)
-	if err := start(ctx, &procs, exe, dir, o, `value-bytes="16777216"`, kserve); err != nil {
+	if err := startSystem(ctx, &procs, exe, dir, o, `value-bytes="16777216"`, kserve); err != nil {
 		return err
 	}
 	w := table.NewWriter()
 	w.SetOutputMirror(out)
 	w.SetStyle(table.StyleLight)
 	w.SetTitle("one warm function through three fronts, %d at a time; one front end on %d cores, %d stand-in workers",
-		frontWorkers, o.Cores, o.Workers)
+		protocolConcurrency, o.FrontEndCores, o.Workers)
 	w.AppendHeader(table.Row{"tensor", "front", "RPCs/s", "not ok", "p50 us", "p99 us", "allocated", "times", "read", "written"})
-	at, err := connect(ctx, &conns, filepath.Join(dir, "front.sock"))
+	frontEnd, err := connect(ctx, &conns, filepath.Join(dir, "front.sock"))
 	if err != nil {
 		return err
 	}
-	defer at.Close()
+	defer frontEnd.Close()
 	for _, size := range sizes {
 		raw := bytes.Repeat([]byte{7}, size)
 		for _, f := range []struct {
 			name string
 			make func() (func() error, func(), error)
 		}{
-			{"JSON-RPC, base64", func() (func() error, func(), error) { return jsonFront(ctx, &conns, dir, raw) }},
-			{"HTTP, binary data", func() (func() error, func(), error) { return httpFront(ctx, dir, raw) }},
-			{"gRPC, raw contents", func() (func() error, func(), error) { return grpcFront(ctx, dir, raw) }},
+			{"JSON-RPC, base64", func() (func() error, func(), error) { return jsonRPCClient(ctx, &conns, dir, raw) }},
+			{"HTTP, binary data", func() (func() error, func(), error) { return httpClient(ctx, dir, raw) }},
+			{"gRPC, raw contents", func() (func() error, func(), error) { return grpcClient(ctx, dir, raw) }},
 		} {
 			call, done, err := f.make()
 			if err != nil {
 				return err
 			}
-			before, err := statusOf(ctx, at)
+			before, err := statusOf(ctx, frontEnd)
 			if err != nil {
 				return err
 			}
-			r := hammer(ctx, o.Span, call)
+			r := runProtocol(ctx, o.Duration, call)
 			done()
-			after, err := statusOf(ctx, at)
+			after, err := statusOf(ctx, frontEnd)
 			if err != nil {
 				return err
 			}
 			n := float64(max(after.Counts.Taken-before.Counts.Taken, 1))
 			each := func(after, before uint64) string { return fmt.Sprintf("%.0f", float64(after-before)/n) }
 			p, q := after.Process, before.Process
-			w.AppendRow(table.Row{size, f.name, fmt.Sprintf("%.0f", r.rate), r.failed, r.h.ValueAtQuantile(50), r.h.ValueAtQuantile(99),
+			w.AppendRow(table.Row{size, f.name, fmt.Sprintf("%.0f", r.rate), r.failed, r.latency.ValueAtQuantile(50), r.latency.ValueAtQuantile(99),
 				each(p.Allocated, q.Allocated), each(p.Allocations, q.Allocations), each(p.Read, q.Read), each(p.Written, q.Written)})
 		}
 	}
@@ -93,7 +93,7 @@
 	return ctx.Err()
 }
 
-// statusOf asks a front end for its status.
+// statusOf returns a front end's status.
 func statusOf(ctx context.Context, c *jsonrpc.Caller) (s gateway.Status, err error) {
 	a := c.Call(ctx, "rpc.status", nil)
 	if a.Err != nil || a.Code != 0 {
@@ -102,13 +102,13 @@
 	return s, json.Unmarshal(a.Result, &s)
 }
 
-// hammer keeps RPCs at work, after a quarter of the time to warm up.
-func hammer(ctx context.Context, span time.Duration, call func() error) result {
+// runProtocol keeps RPCs in flight for the given time, after a quarter of it for warming up.
+func runProtocol(ctx context.Context, span time.Duration, call func() error) result {
 	var mu sync.Mutex
-	r := result{h: histogram()}
+	r := result{latency: histogram()}
 	var group errgroup.Group
 	begin := time.Now()
-	for range frontWorkers {
+	for range protocolConcurrency {
 		group.Go(func() error {
 			h, failed := histogram(), int64(0)
 			for ctx.Err() == nil {
@@ -127,17 +127,17 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			r.h.Merge(h)
+			r.latency.Merge(h)
 			r.failed += failed
 			return nil
 		})
 	}
 	_ = group.Wait()
-	r.rate = float64(r.h.TotalCount()) / span.Seconds()
+	r.rate = float64(r.latency.TotalCount()) / span.Seconds()
 	return r
 }
 
-func jsonFront(ctx context.Context, conns *errgroup.Group, dir string, raw []byte) (func() error, func(), error) {
+func jsonRPCClient(ctx context.Context, conns *errgroup.Group, dir string, raw []byte) (func() error, func(), error) {
 	c, err := connect(ctx, conns, filepath.Join(dir, "front.sock"))
 	if err != nil {
 		return nil, nil, err
@@ -154,8 +154,8 @@
 	}, c.Close, nil
 }
 
-func httpFront(ctx context.Context, dir string, raw []byte) (func() error, func(), error) {
-	transport := &http.Transport{MaxIdleConnsPerHost: frontWorkers, DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
+func httpClient(ctx context.Context, dir string, raw []byte) (func() error, func(), error) {
+	transport := &http.Transport{MaxIdleConnsPerHost: protocolConcurrency, DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "unix", filepath.Join(dir, "http.sock"))
 	}}
 	head := fmt.Sprintf(`{"inputs":[{"name":"x","datatype":"UINT8","shape":[%[1]d],"parameters":{"binary_data_size":%[1]d}}],"parameters":{"binary_data_output":true}}`, len(raw))
@@ -172,15 +172,15 @@
 		}
 		defer answer.Body.Close()
 		if n, err := io.Copy(io.Discard, answer.Body); err != nil || answer.StatusCode != 200 || n < int64(len(raw)) {
-			return fmt.Errorf("%s, %d bytes, %v", answer.Status, n, err)
+			return fmt.Errorf("HTTP status %s, %d bytes, error %v", answer.Status, n, err)
 		}
 		return nil
 	}, transport.CloseIdleConnections, nil
 }
 
-func grpcFront(ctx context.Context, dir string, raw []byte) (func() error, func(), error) {
+func grpcClient(ctx context.Context, dir string, raw []byte) (func() error, func(), error) {
 	cc, err := grpc.NewClient("unix:"+filepath.Join(dir, "grpc.sock"), grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(valueLimit)))
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxValueBytes)))
 	if err != nil {
 		return nil, nil, err
 	}
@@ -189,7 +189,7 @@
 		r, err := c.ModelInfer(ctx, &oip.ModelInferRequest{ModelName: "identity", RawInputContents: [][]byte{raw},
 			Inputs: []*oip.ModelInferRequest_InferInputTensor{{Name: "x", Datatype: "UINT8", Shape: []int64{int64(len(raw))}}}})
 		if err == nil && len(r.RawOutputContents[0]) != len(raw) {
-			err = errors.New("cut short")
+			err = errors.New("response tensor has the wrong length")
 		}
 		return err
 	}, func() { cc.Close() }, nil
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -1,5 +1,5 @@
-// Package measure times one front end on warm copies beside a client that speaks to the same worker directly, both
-// in one run on one machine: the difference and the ratio count, not the figures themselves.
+// Package measure compares one front end on warm copies with a client that connects to the same workers directly. Both
+// are measured in the same run on one machine, so the differences and ratios are meaningful, not the absolute values.
 package measure
 
 import (
@@ -25,34 +25,34 @@
 	"mallowlanding/internal/jsonrpc"
 )
 
-// Options say what is measured.
+// Options configures a measurement.
 type Options struct {
-	Batch       int           // RPCs that may ride one call-out; 0: one
-	WorkerCores int           // of each stand-in worker; 0: so many that none waits
-	Span        time.Duration // of each measurement
-	Workers     int
-	Cores       int // that the front end may use
-	Payload     int // bytes
-	Functions   int
-	Work        time.Duration // of each RPC at a worker
-	Control     string        // the front end's control element; empty: none
-	Rate        float64       // RPCs a second of the open loop; 0: half of what the front end reached
+	MaxBatch       int           // RPCs in one call-out; 0: one
+	WorkerCores    int           // of each stand-in worker; 0: enough that no RPC waits for one
+	Duration       time.Duration // of each measurement
+	Workers        int
+	FrontEndCores  int // GOMAXPROCS of the front end
+	PayloadBytes   int // of each RPC
+	Functions      int
+	WorkTime       time.Duration // of each RPC at a worker
+	ControlElement string        // XML of the front end's control element; empty: none
+	Rate           float64       // RPCs per second of the open loop; 0: half of the front end's closed-loop rate
 }
 
 const (
-	valueLimit = 64 << 20
-	rounds     = 4 // turns of the open loops
+	maxValueBytes  = 64 << 20
+	openLoopRounds = 4 // in which the open loops alternate
 )
 
-// way is how RPCs are sent: through the front end or straight to workers.
-type way struct {
+// target is where RPCs are sent: through the front end or directly to workers.
+type target struct {
 	name   string
 	params func(function int) []byte
 	method string
 	conns  []*jsonrpc.Caller
 }
 
-// Run measures and prints a table. Exe is the program itself.
+// Run measures both targets with closed and open loops and prints a table. Exe is the program's own executable.
 func Run(ctx context.Context, exe string, o Options, out io.Writer) error {
 	dir, err := os.MkdirTemp("", "mallow")
 	if err != nil {
@@ -63,23 +63,23 @@
 	defer end()
 	var procs errgroup.Group
 	defer func() { end(); _ = procs.Wait() }()
-	if err := start(ctx, &procs, exe, dir, o, "", ""); err != nil {
+	if err := startSystem(ctx, &procs, exe, dir, o, "", ""); err != nil {
 		return err
 	}
-	payload := make([]byte, 0, o.Payload+2)
+	payload := make([]byte, 0, o.PayloadBytes+2)
 	payload = append(payload, '"')
-	for range max(o.Payload-2, 0) {
+	for range max(o.PayloadBytes-2, 0) {
 		payload = append(payload, 'x')
 	}
 	payload = append(payload, '"')
 	var conns errgroup.Group
 	dial := func(socket string) (*jsonrpc.Caller, error) { return connect(ctx, &conns, socket) }
 	defer func() { end(); _ = conns.Wait() }()
-	front := way{name: "through the front end", method: "query", params: func(f int) []byte {
+	front := target{name: "through the front end", method: "query", params: func(f int) []byte {
 		b := strconv.AppendInt([]byte(`{"function":"f`), int64(f), 10)
 		return append(append(append(b, `","payload":`...), payload...), '}')
 	}}
-	direct := way{name: "straight to the workers", method: "host.request", params: func(f int) []byte {
+	direct := target{name: "straight to the workers", method: "host.request", params: func(f int) []byte {
 		b := strconv.AppendInt([]byte(`{"method":"query","function":"f`), int64(f), 10)
 		b = append(b, `","time_ms":3000,"memory_mb":16,"lanes":64,"load_ms":300,"payload":`...)
 		return append(append(b, payload...), '}')
@@ -98,61 +98,61 @@
 	w := table.NewWriter()
 	w.SetOutputMirror(out)
 	w.SetStyle(table.StyleLight)
-	w.SetTitle("one front end on %d cores, %d stand-in workers whose work takes %v, payload of %d bytes", o.Cores,
-		o.Workers, o.Work, o.Payload)
+	w.SetTitle("one front end on %d cores, %d stand-in workers whose work takes %v, payload of %d bytes", o.FrontEndCores,
+		o.Workers, o.WorkTime, o.PayloadBytes)
 	w.AppendHeader(table.Row{"way", "load", "RPCs/s", "not ok", "p50 us", "p99 us", "p99.9 us"})
 	row := func(name, load string, r result) {
-		w.AppendRow(table.Row{name, load, fmt.Sprintf("%.0f", r.rate), r.failed, r.h.ValueAtQuantile(50),
-			r.h.ValueAtQuantile(99), r.h.ValueAtQuantile(99.9)})
+		w.AppendRow(table.Row{name, load, fmt.Sprintf("%.0f", r.rate), r.failed, r.latency.ValueAtQuantile(50),
+			r.latency.ValueAtQuantile(99), r.latency.ValueAtQuantile(99.9)})
 	}
-	most := map[string]result{}
-	for _, y := range []way{direct, front} {
-		y.warm(ctx, o)
-		one := y.closed(ctx, 1, o.Span, o)
-		row(y.name, "one at a time", one)
-		most[y.name+" alone"] = one
-		full := y.closed(ctx, 64, o.Span, o)
-		row(y.name, "64 at a time", full)
-		most[y.name] = full
+	results := map[string]result{}
+	for _, t := range []target{direct, front} {
+		t.warmUp(ctx, o)
+		single := t.closedLoop(ctx, 1, o.Duration, o)
+		row(t.name, "one at a time", single)
+		results[t.name+" alone"] = single
+		loaded := t.closedLoop(ctx, 64, o.Duration, o)
+		row(t.name, "64 at a time", loaded)
+		results[t.name] = loaded
 	}
-	half := cmp.Or(o.Rate, most[front.name].rate/2)
-	// in turns, so that what else the machine does falls on both
-	open := [2]result{{h: histogram()}, {h: histogram()}}
-	for range rounds {
-		for i, y := range []way{direct, front} {
-			r := y.openLoop(ctx, half, o.Span/rounds, o)
-			open[i].h.Merge(r.h)
+	rate := cmp.Or(o.Rate, results[front.name].rate/2)
+	// alternate, so that other load on the machine affects both targets alike
+	open := [2]result{{latency: histogram()}, {latency: histogram()}}
+	for range openLoopRounds {
+		for i, t := range []target{direct, front} {
+			r := t.openLoop(ctx, rate, o.Duration/openLoopRounds, o)
+			open[i].latency.Merge(r.latency)
 			open[i].failed += r.failed
-			open[i].rate += r.rate / rounds
+			open[i].rate += r.rate / openLoopRounds
 		}
 	}
-	for i, y := range []way{direct, front} {
-		row(y.name, fmt.Sprintf("open loop, %.0f a second", half), open[i])
+	for i, t := range []target{direct, front} {
+		row(t.name, fmt.Sprintf("open loop, %.0f a second", rate), open[i])
 	}
 	w.Render()
 	fmt.Fprintf(out, "added at the median: %d us alone, %d us in the open loop; rate of the front end over direct: %.2f\n",
-		most[front.name+" alone"].h.ValueAtQuantile(50)-most[direct.name+" alone"].h.ValueAtQuantile(50),
-		open[1].h.ValueAtQuantile(50)-open[0].h.ValueAtQuantile(50), most[front.name].rate/most[direct.name].rate)
+		results[front.name+" alone"].latency.ValueAtQuantile(50)-results[direct.name+" alone"].latency.ValueAtQuantile(50),
+		open[1].latency.ValueAtQuantile(50)-open[0].latency.ValueAtQuantile(50), results[front.name].rate/results[direct.name].rate)
 	return ctx.Err()
 }
 
 type result struct {
-	rate   float64
-	failed int64
-	h      *hdrhistogram.Histogram // of all
-	ok     *hdrhistogram.Histogram // of those that were ok; of open loops alone
+	rate      float64
+	failed    int64
+	latency   *hdrhistogram.Histogram // of all RPCs, in us
+	okLatency *hdrhistogram.Histogram // of RPCs that ended ok, in us; open loops only
 }
 
 func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, 60e6, 3) }
 
-// warm asks for each function on each connection, and again: loads take part of a second.
-func (y way) warm(ctx context.Context, o Options) {
+// warmUp calls each function twice on each connection, because loads take part of a second.
+func (t target) warmUp(ctx context.Context, o Options) {
 	for range 2 {
 		var group errgroup.Group
-		for _, c := range y.conns {
+		for _, c := range t.conns {
 			group.Go(func() error {
 				for f := range o.Functions {
-					c.Call(ctx, y.method, y.params(f))
+					c.Call(ctx, t.method, t.params(f))
 				}
 				return nil
 			})
@@ -161,51 +161,52 @@
 	}
 }
 
-// connect dials a socket; the caller's reader runs in the group until the context ends.
+// connect dials a socket. The connection's reader runs in the group until the context ends.
 func connect(ctx context.Context, conns *errgroup.Group, socket string) (*jsonrpc.Caller, error) {
 	nc, err := net.Dial("unix", socket)
 	if err != nil {
 		return nil, err
 	}
-	c := jsonrpc.NewCaller(nc, valueLimit)
+	c := jsonrpc.NewCaller(nc, maxValueBytes)
 	conns.Go(func() error { _ = c.Run(ctx); return nil })
 	return c, nil
 }
 
-// closed keeps n RPCs at work, each sent once the one before it is answered.
-func (y way) closed(ctx context.Context, n int, span time.Duration, o Options) result {
+// closedLoop keeps n RPCs in flight for the given time: each is sent when the one before it is answered.
+func (t target) closedLoop(ctx context.Context, n int, span time.Duration, o Options) result {
 	var mu sync.Mutex
-	r := result{h: histogram()}
+	r := result{latency: histogram()}
 	begin := time.Now()
 	var group errgroup.Group
 	for i := range n {
-		c := y.conns[i%len(y.conns)]
+		c := t.conns[i%len(t.conns)]
 		group.Go(func() error {
 			h, failed := histogram(), int64(0)
 			for k := i; time.Since(begin) < span && ctx.Err() == nil; k++ {
 				sent := time.Now()
-				if a := c.Call(ctx, y.method, y.params(k%o.Functions)); a.Err != nil || a.Code != 0 {
+				if a := c.Call(ctx, t.method, t.params(k%o.Functions)); a.Err != nil || a.Code != 0 {
 					failed++
 				}
 				_ = h.RecordValue(time.Since(sent).Microseconds())
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			r.h.Merge(h)
+			r.latency.Merge(h)
 			r.failed += failed
 			return nil
 		})
 	}
 	_ = group.Wait()
-	r.rate = float64(r.h.TotalCount()) / time.Since(begin).Seconds()
+	r.rate = float64(r.latency.TotalCount()) / time.Since(begin).Seconds()
 	return r
 }
 
-// openLoop sends at a steady rate, whatever is answered; an RPC's time counts from when it was due.
-func (y way) openLoop(ctx context.Context, rate float64, span time.Duration, o Options) result {
+// openLoop sends at a steady rate, whether or not earlier RPCs are answered. Latency counts from the time at which an
+// RPC was due.
+func (t target) openLoop(ctx context.Context, rate float64, span time.Duration, o Options) result {
 	var mu sync.Mutex
 	var failed atomic.Int64
-	r := result{h: histogram(), ok: histogram()}
+	r := result{latency: histogram(), okLatency: histogram()}
 	var wait sync.WaitGroup
 	begin := time.Now()
 	for n := 0; ctx.Err() == nil; n++ {
@@ -221,28 +222,28 @@
 			}
 		}
 		wait.Add(1)
-		y.conns[n%len(y.conns)].CallAsync(y.method, y.params(n%o.Functions), func(a jsonrpc.Response) {
+		t.conns[n%len(t.conns)].CallAsync(t.method, t.params(n%o.Functions), func(a jsonrpc.Response) {
 			took := time.Since(due).Microseconds()
 			if a.Err != nil || a.Code != 0 {
 				failed.Add(1)
 			}
 			mu.Lock()
-			_ = r.h.RecordValue(took)
+			_ = r.latency.RecordValue(took)
 			if a.Err == nil && a.Code == 0 {
-				_ = r.ok.RecordValue(took)
+				_ = r.okLatency.RecordValue(took)
 			}
 			mu.Unlock()
 			wait.Done()
 		})
 	}
 	wait.Wait()
-	r.rate = float64(r.h.TotalCount()) / time.Since(begin).Seconds()
+	r.rate = float64(r.latency.TotalCount()) / time.Since(begin).Seconds()
 	r.failed = failed.Load()
 	return r
 }
 
-// child runs a subcommand until the context ends, with some environment of its own.
-func child(ctx context.Context, procs *errgroup.Group, exe, command, file string, env ...string) error {
+// startProcess runs a subcommand of the program until the context ends, with env added to its environment.
+func startProcess(ctx context.Context, procs *errgroup.Group, exe, command, file string, env ...string) error {
 	cmd := exec.CommandContext(ctx, exe, "--log-level", "error", command, file)
 	cmd.Stderr = os.Stderr
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -254,14 +255,15 @@
 	return nil
 }
 
-// start runs roster, workers and a front end as processes of their own.
-func start(ctx context.Context, procs *errgroup.Group, exe, dir string, o Options, limits, kserve string) error {
+// startSystem starts the roster, the workers and a front end, each as a process, and waits until they accept
+// connections. Limits are attributes of the front end's clients element, kserve is its kserve element.
+func startSystem(ctx context.Context, procs *errgroup.Group, exe, dir string, o Options, limits, kserve string) error {
 	docs := map[string]string{
 		"roster": fmt.Sprintf(`<roster socket="%s/roster.sock" lag-ms="0"/>`, dir),
 		"front": fmt.Sprintf(`<front-end name="front"><clients socket="%[1]s/front.sock" open="100000" %[2]s/>%[3]s<workers value-bytes="67108864"/>
 <roster socket="%[1]s/roster.sock"/>%[6]s<service>
 <method name="query" effect="idempotent" memory-mb="16" lanes="64" load-ms="300" soft-deadline-ms="%[4]d" batch="%[5]d"/><kind name="std" memory-mb="4096"/>
-<functions keep-alive-ms="600000"/></service></front-end>`, dir, limits, kserve, softMs, max(o.Batch, 1), o.Control),
+<functions keep-alive-ms="600000"/></service></front-end>`, dir, limits, kserve, softDeadlineMs, max(o.MaxBatch, 1), o.ControlElement),
 	}
 	command := map[string]string{"roster": "roster", "front": "serve"}
 	order := []string{"roster"}
@@ -269,7 +271,7 @@
 		name := fmt.Sprintf("worker-%d", i)
 		docs[name] = fmt.Sprintf(`<worker name="%[2]s" socket="%[1]s/%[2]s.sock" kind="std" cold="no">
 <machine cores="%[4]d" keep-alive-ms="600000"/><work method="query" mean-ms="%[3]g" spread="0"/><roster socket="%[1]s/roster.sock"/></worker>`,
-			dir, name, float64(o.Work)/float64(time.Millisecond), cmp.Or(o.WorkerCores, 64))
+			dir, name, float64(o.WorkTime)/float64(time.Millisecond), cmp.Or(o.WorkerCores, 64))
 		command[name] = "worker"
 		order = append(order, name)
 	}
@@ -278,11 +280,11 @@
 		if err := os.WriteFile(file, []byte(docs[name]), 0o600); err != nil {
 			return err
 		}
-		cores := 1 // the others' on this machine
+		cores := 1 // of the roster and of each worker
 		if name == "front" {
-			cores = o.Cores
+			cores = o.FrontEndCores
 		}
-		if err := child(ctx, procs, exe, command[name], file, "GOMAXPROCS="+strconv.Itoa(cores)); err != nil {
+		if err := startProcess(ctx, procs, exe, command[name], file, "GOMAXPROCS="+strconv.Itoa(cores)); err != nil {
 			return err
 		}
 		socket := filepath.Join(dir, name+".sock")
@@ -291,11 +293,11 @@
 				nc.Close()
 				break
 			} else if try > 1000 {
-				return fmt.Errorf("%s does not serve: %w", name, err)
+				return fmt.Errorf("%s does not accept connections: %w", name, err)
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
 	}
-	time.Sleep(300 * time.Millisecond) // the list of workers comes
+	time.Sleep(300 * time.Millisecond) // the front end receives the worker list
 	return nil
 }
