--- a/internal/emulate/trouble.go
+++ b/internal/emulate/trouble.go
@@ -69,14 +69,14 @@
 
 // startTrouble injects a trouble: each kind as rehearsals do, and those that sockets on one machine can't produce.
 func (w *world) startTrouble(t settings.Trouble, rng *rand.Rand) {
-	each := func(xs []*worker, do func(m *standin.Model)) {
-		for _, x := range xs {
+	each := func(workers []*worker, do func(m *standin.Model)) {
+		for _, x := range workers {
 			x.handle(func() { do(x.model) })
 		}
 	}
-	names := func(xs []*worker) map[string]bool {
+	names := func(workers []*worker) map[string]bool {
 		out := map[string]bool{}
-		for _, x := range xs {
+		for _, x := range workers {
 			out[x.settings.Name] = true
 		}
 		return out
@@ -133,16 +133,16 @@
 	case "crash":
 		w.crashWorkers(w.sampleWorkers(t.Part, rng), t.For)
 	case "ageing":
-		xs := w.sampleWorkers(t.Part, rng)
+		workers := w.sampleWorkers(t.Part, rng)
 		for i, factor := range []float64{1 + t.Size/3, 1 + 2*t.Size/3, 1 + t.Size} {
-			w.after(t.For*router.Time(i)/3, func() { each(xs, func(m *standin.Model) { m.Slow(factor, t.For) }) })
+			w.after(t.For*router.Time(i)/3, func() { each(workers, func(m *standin.Model) { m.Slow(factor, t.For) }) })
 		}
-		w.after(t.For, func() { w.crashWorkers(xs, 10000) })
+		w.after(t.For, func() { w.crashWorkers(workers, 10000) })
 	case "zone-loss":
-		var xs []*worker
+		var workers []*worker
 		for _, x := range w.fleet {
 			if x.settings.Zone == t.Zone {
-				xs = append(xs, x)
+				workers = append(workers, x)
 			}
 		}
 		if t.Size > 0.5 {
@@ -152,14 +152,14 @@
 				}
 			}
 		}
-		w.crashWorkers(xs, t.For)
+		w.crashWorkers(workers, t.For)
 	case "deploy":
-		xs := w.sampleWorkers(t.Part, rng)
-		batch := max(1, int(math.Round(t.Size*float64(len(xs)))))
-		batches := (len(xs) + batch - 1) / batch
-		for i := 0; i < len(xs); i += batch {
+		workers := w.sampleWorkers(t.Part, rng)
+		batch := max(1, int(math.Round(t.Size*float64(len(workers)))))
+		batches := (len(workers) + batch - 1) / batch
+		for i := 0; i < len(workers); i += batch {
 			w.after(t.For/router.Time(batches)*router.Time(i/batch), func() {
-				for _, x := range xs[i:min(i+batch, len(xs))] {
+				for _, x := range workers[i:min(i+batch, len(workers))] {
 					w.replaceWorker(x, 0)
 				}
 			})
@@ -194,12 +194,12 @@
 }
 
 // crashWorkers kills workers; after the downtime they start again, cold and under the same names.
-func (w *world) crashWorkers(xs []*worker, downtime router.Time) {
-	for _, x := range xs {
+func (w *world) crashWorkers(workers []*worker, downtime router.Time) {
+	for _, x := range workers {
 		x.stop()
 	}
 	w.after(downtime, func() {
-		for _, x := range xs {
+		for _, x := range workers {
 			set := *x.settings
 			set.Cold = true
 			next := w.startWorker(&set)
