--- a/cmd/mallowlanding/emulate.go
+++ b/cmd/mallowlanding/emulate.go
@@ -38,7 +38,7 @@
 		return c.against(e, s, r)
 	}
 	r.Print(e.out, s)
-	fmt.Fprintf(e.out, "in virtual time: %d moments with events in %.1f s\n", r.Events, r.Took.Seconds())
+	fmt.Fprintf(e.out, "in virtual time: %d moments with events in %.1f s\n", r.Events, r.Elapsed.Seconds())
 	if len(r.Audit.Breaks) > 0 {
 		return rehearse.ErrBroken
 	}
@@ -59,7 +59,7 @@
 		}
 		sockets = append(sockets, o)
 	}
-	emulate.Against(e.out, s.Name, r.Outcome, sockets)
+	emulate.CompareWithSockets(e.out, s.Name, r.Outcome, sockets)
 	return nil
 }
 
@@ -84,7 +84,7 @@
 	if dir == "" {
 		dir = x.Name
 	}
-	runs, err := experiment.Play(e.ctx, x, dir, os.Stderr)
+	runs, err := experiment.Execute(e.ctx, x, dir, os.Stderr)
 	if err != nil {
 		return err
 	}
@@ -166,6 +166,6 @@
 	if err := settings.WriteFile(c.Out, "scenario", f.Scenario); err != nil {
 		return err
 	}
-	fmt.Fprintf(e.out, "%s: module %.3f, oracle %.3f, %d rule breaks, after %d days\n", c.Out, f.Kept, f.Oracle, f.Breaks, f.Tried)
+	fmt.Fprintf(e.out, "%s: module %.3f, oracle %.3f, %d rule breaks, after %d days\n", c.Out, f.RouterShare, f.OracleShare, f.Breaks, f.Evaluated)
 	return nil
 }
