--- a/internal/clients/clients_test.go
+++ b/internal/clients/clients_test.go
@@ -24,7 +24,7 @@
 	if info, err := os.Stat(path); err != nil || info.Mode().Perm() != 0o660 {
 		t.Errorf("socket mode %v, error %v, want 0660", info.Mode(), err)
 	}
-	if _, err := Listen(path, 0o600); err == nil || !strings.Contains(err.Error(), "in use by a live process") {
+	if _, err := Listen(path, 0o600); err == nil || !strings.Contains(err.Error(), "a live process serves it") {
 		t.Errorf("Listen on the socket of a live process: %v", err)
 	}
 	if c, err := net.Dial("unix", path); err != nil {
@@ -42,7 +42,7 @@
 	if err := os.WriteFile(path, []byte("kept"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Listen(path, 0o600); err == nil || !strings.Contains(err.Error(), "not a socket") {
+	if _, err := Listen(path, 0o600); err == nil || !strings.Contains(err.Error(), "no socket") {
 		t.Errorf("Listen on the path of a file: %v", err)
 	}
 	if text, _ := os.ReadFile(path); string(text) != "kept" {
--- a/internal/clients/conn.go
+++ b/internal/clients/conn.go
@@ -340,7 +340,7 @@
 
 // HandleResponse implements jsonrpc.Handler. The front end sends clients no requests, so every response is invalid.
 func (c *conn) HandleResponse(id jsonrpc.ID, _ []byte, _ int, _ string, _ []byte) {
-	c.newPending(id).sendError(jsonrpc.InvalidRequest, "unexpected response: the front end sends no requests")
+	c.newPending(id).sendError(jsonrpc.InvalidRequest, "a response, where nothing was asked")
 }
 
 // HandleRequest implements jsonrpc.Handler.
@@ -390,7 +390,7 @@
 func readParams(raw []byte) (params dispatch.Params, err error) {
 	params.TimeoutMS = -1
 	if len(raw) == 0 || raw[0] != '{' {
-		return params, errors.New("params must be an object with named members")
+		return params, errors.New("params must be an object that names them")
 	}
 	seen := map[string]bool{}
 	parseString := func(to *string, name string, v jsontext.Value) error {
@@ -403,7 +403,7 @@
 	err = jsonrpc.ForEachMember(raw, func(name []byte, v jsontext.Value) error {
 		n := string(name)
 		if seen[n] {
-			return fmt.Errorf("params: duplicate name %.80q", n)
+			return fmt.Errorf("params: %.80q stands twice", n)
 		}
 		seen[n] = true
 		switch n {
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -74,14 +74,14 @@
 func Listen(path string, mode os.FileMode) (net.Listener, error) {
 	if info, err := os.Lstat(path); err == nil {
 		if info.Mode()&os.ModeSocket == 0 {
-			return nil, fmt.Errorf("socket %s: the path exists and is not a socket", path)
+			return nil, fmt.Errorf("socket %s: a file that is no socket stands there", path)
 		}
 		if c, err := net.DialTimeout("unix", path, time.Second); err == nil {
 			c.Close()
-			return nil, fmt.Errorf("socket %s: in use by a live process", path)
+			return nil, fmt.Errorf("socket %s: a live process serves it", path)
 		}
 		if err := os.Remove(path); err != nil {
-			return nil, fmt.Errorf("socket %s: cannot remove the socket of a dead process: %w", path, err)
+			return nil, fmt.Errorf("socket %s: left by a dead process: %w", path, err)
 		}
 	}
 	l, err := net.Listen("unix", path)
--- a/internal/frames/frames.go
+++ b/internal/frames/frames.go
@@ -64,19 +64,19 @@
 	}
 	n := int64(binary.BigEndian.Uint32(head[:]))
 	if n > int64(limit) {
-		return fmt.Errorf("frame of %d bytes exceeds the limit of %d", n, limit)
+		return fmt.Errorf("a frame of %d bytes, %d are taken", n, limit)
 	}
 	body := make([]byte, 0, min(n, 1<<16))
 	for int64(len(body)) < n { // the buffer grows with the data received: a claimed length alone allocates nothing
 		at := len(body)
 		body = append(body, make([]byte, min(n-int64(at), int64(max(at, 1<<16))))...)
 		if _, err := io.ReadFull(in, body[at:]); err != nil {
-			return fmt.Errorf("frame is cut short: %w", io.ErrUnexpectedEOF)
+			return fmt.Errorf("a frame is cut short: %w", io.ErrUnexpectedEOF)
 		}
 	}
 	var m message
 	if err := cbor.Unmarshal(body, &m); err != nil {
-		return fmt.Errorf("frame is not a valid message: %w", err)
+		return fmt.Errorf("a frame is no message: %w", err)
 	}
 	if m.Method != "" {
 		h.HandleRequestBlob(m.ID, m.Method, m.Params, m.Blob)
--- a/internal/frames/frames_test.go
+++ b/internal/frames/frames_test.go
@@ -37,8 +37,8 @@
 	if err := Read(in, 1000, &recorder{}); err != io.EOF {
 		t.Errorf("at the end of the stream: %v, want EOF", err)
 	}
-	for text, want := range map[string]string{"\x00\x00\x00\x05ab": "cut short", "\xff\xff\xff\xff": "4294967295 bytes exceeds the limit of 1000",
-		"\x00\x00\x00\x01\x01": "not a valid message", "\x00\x00": "unexpected EOF"} {
+	for text, want := range map[string]string{"\x00\x00\x00\x05ab": "cut short", "\xff\xff\xff\xff": "4294967295 bytes, 1000 are taken",
+		"\x00\x00\x00\x01\x01": "no message", "\x00\x00": "unexpected EOF"} {
 		if err := Read(strings.NewReader(text), 1000, &recorder{}); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("reading %q: error %v, want %q", text, err, want)
 		}
--- a/internal/gateway/configured.go
+++ b/internal/gateway/configured.go
@@ -233,7 +233,7 @@
 		for _, g := range config.Groups {
 			for _, w := range g.Workers {
 				if state := c.watcher.RosterState(w.Name); state == "gone" || state == "draining" {
-					problem <- w.Errorf("worker %q of group %q: the roster lists it as %s", w.Name, g.Name, state)
+					problem <- w.Errorf("worker %q of group %q: the roster told that it is %s", w.Name, g.Name, state)
 					return
 				}
 			}
--- a/internal/httpconn/httpconn.go
+++ b/internal/httpconn/httpconn.go
@@ -24,10 +24,10 @@
 )
 
 // ErrNotSent means that the request was not written completely, so it never ran.
-var ErrNotSent = errors.New("request not sent completely")
+var ErrNotSent = errors.New("not sent whole")
 
 // ErrBadResponse means that a response came that is malformed, truncated or too large.
-var ErrBadResponse = errors.New("malformed response")
+var ErrBadResponse = errors.New("spoilt answer")
 
 // Conn is a connection for one exchange at a time.
 type Conn struct {
@@ -113,7 +113,7 @@
 	}
 	chunked := len(resp.TransferEncoding) > 0
 	if resp.ContentLength > maxBody || resp.ContentLength < 0 && !chunked {
-		return response, false, fmt.Errorf("%w: body of %d bytes, limit %d", ErrBadResponse, resp.ContentLength, maxBody)
+		return response, false, fmt.Errorf("%w: a body of %d bytes, %d are taken", ErrBadResponse, resp.ContentLength, maxBody)
 	}
 	c.limited.N = maxBody + maxHeader // chunks have headers, too
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBody+1))
@@ -121,7 +121,7 @@
 		return response, false, c.readError(err)
 	}
 	if int64(len(body)) > maxBody {
-		return response, false, fmt.Errorf("%w: body of more than %d bytes", ErrBadResponse, maxBody)
+		return response, false, fmt.Errorf("%w: a body of more than %d bytes", ErrBadResponse, maxBody)
 	}
 	return Response{resp.StatusCode, resp.Header, body}, c.reader.Buffered() == 0 && !resp.Close, nil
 }
@@ -133,7 +133,7 @@
 	case errors.As(err, &opErr): // a reset, a call of Close, or the deadline
 		return err
 	case c.limited.N <= 0:
-		return fmt.Errorf("%w: header or body exceeds the limit", ErrBadResponse)
+		return fmt.Errorf("%w: a head or body without end", ErrBadResponse)
 	case errors.Is(err, io.EOF):
 		return err
 	}
--- a/internal/httplink/httplink.go
+++ b/internal/httplink/httplink.go
@@ -315,8 +315,8 @@
 
 // Reasons why an exchange ended before its first byte was written.
 var (
-	errCancelled = errors.New("cancelled before it was sent")
-	errExpired   = errors.New("too late to send: the worker may be draining by now")
+	errCancelled = errors.New("given up before it began")
+	errExpired   = errors.New("too late to begin: nothing proves any more that the worker does not drain")
 )
 
 // send writes the message and reads the response. A message that was not written completely is sent again on a new
--- a/internal/jsonrpc/codec.go
+++ b/internal/jsonrpc/codec.go
@@ -100,14 +100,14 @@
 
 func checkNoTrailingData(value []byte, offset int64) error {
 	if rest := bytes.TrimLeft(value[offset:], " \t\r\n"); len(rest) > 0 {
-		return fmt.Errorf("unexpected data after the value, at byte %d", offset)
+		return fmt.Errorf("more after the value, at byte %d", offset)
 	}
 	return nil
 }
 
 func describeError(err error) string {
 	if errors.Is(err, io.ErrUnexpectedEOF) || err == io.EOF {
-		return "unexpected end of input"
+		return "it ends too soon"
 	}
 	return err.Error()
 }
@@ -173,7 +173,7 @@
 	case err != nil:
 		h.HandleInvalid(NullID, ParseError, "not JSON: "+describeError(err))
 	case duplicate != "":
-		invalid(fmt.Sprintf("duplicate member %q", duplicate))
+		invalid(fmt.Sprintf("member %q stands twice", duplicate))
 	case version == nil:
 		invalid(`member "jsonrpc" is missing`)
 	case string(version) != `"2.0"`:
@@ -221,7 +221,7 @@
 	case 'n':
 		return "null"
 	case 't', 'f':
-		return "a boolean"
+		return "a truth value"
 	case '"':
 		return "a string"
 	case '0':
--- a/internal/jsonrpc/framing.go
+++ b/internal/jsonrpc/framing.go
@@ -110,7 +110,7 @@
 		line, err := r.in.ReadSlice('\n')
 		headerBytes += len(line)
 		if err == bufio.ErrBufferFull || headerBytes > maxHeader {
-			return nil, fmt.Errorf("headers larger than %d bytes", maxHeader)
+			return nil, fmt.Errorf("headers of more than %d bytes", maxHeader)
 		}
 		if err != nil {
 			if err == io.EOF && headerBytes > 0 {
@@ -135,7 +135,7 @@
 		}
 		if strings.EqualFold(name, "Content-Length") {
 			if length, err = strconv.Atoi(strings.TrimSpace(value)); err != nil || length < 0 {
-				return nil, fmt.Errorf("invalid Content-Length %.40q", value)
+				return nil, fmt.Errorf("Content-Length %.40q is not a length", value)
 			}
 		}
 	}
--- a/internal/jsonrpc/jsonrpc_test.go
+++ b/internal/jsonrpc/jsonrpc_test.go
@@ -72,10 +72,10 @@
 		{"Content-Length: 30\r\n\r\n" + strings.Repeat("x", 30) + "\nContent-Length: 1\r\n\r\nd", "value larger than the limit|d|EOF"},
 		{"Content-Length: 3\r\n\r\nab", "value of 3 bytes is cut short: unexpected EOF"},
 		{"Content-Length: 3", "unexpected EOF"},
-		{"Content-Length: -3\r\n\r\n", `invalid Content-Length " -3"`},
+		{"Content-Length: -3\r\n\r\n", `Content-Length " -3" is not a length`},
 		{"Content-Type: x\r\n\r\n", "headers without Content-Length"},
 		{"Content\r\n\r\n", `header "Content" has no colon`},
-		{"C" + strings.Repeat("x", 20000), "headers larger than 4096 bytes"},
+		{"C" + strings.Repeat("x", 20000), "headers of more than 4096 bytes"},
 	} {
 		r := NewReader(strings.NewReader(c.in), 20)
 		var got []string
--- a/internal/thrift/codec.go
+++ b/internal/thrift/codec.go
@@ -217,7 +217,7 @@
 func parseNumber(s string, limit float64) (float64, error) {
 	v, err := strconv.ParseFloat(s, 64)
 	if err != nil || len(s) > 24 || math.IsNaN(v) || v <= 0 || v > limit {
-		return 0, fmt.Errorf("%.24q is not a number above 0 and up to %g", s, limit)
+		return 0, fmt.Errorf("%.24q is no figure up to %g", s, limit)
 	}
 	return v, nil
 }
--- a/internal/thrift/conn.go
+++ b/internal/thrift/conn.go
@@ -442,11 +442,11 @@
 	case !isHex(p.Function, 16):
 		return p, fmt.Errorf(`"obj": %.40q is not 16 hex digits`, p.Function)
 	case p.Token != "" && !isVisibleASCII(p.Token, 64):
-		return p, errors.New(`"token" is not 1 to 64 visible ASCII characters`)
+		return p, errors.New(`"token" has bytes that can't be passed on`)
 	case isRepeat && again != "1":
 		return p, fmt.Errorf(`"again": %.40q is not 1`, again)
 	case len(body) > maxBody:
-		return p, fmt.Errorf("body of %d bytes, limit %d", len(body), maxBody)
+		return p, fmt.Errorf("a body of %d bytes, %d are taken", len(body), maxBody)
 	}
 	if p.FunctionSpec, err = s.parseFunctionSpec(fields["facts"]); err != nil {
 		return p, fmt.Errorf(`"facts": %w`, err)
@@ -466,7 +466,7 @@
 			spec.MemoryMB, err = parseNumber(value, s.limits.Load().MaxMemoryMB)
 		case "lanes":
 			if v, err = parseNumber(value, maxLanes); err == nil && v != float64(int(v)) {
-				err = fmt.Errorf("%.24q is not an integer", value)
+				err = fmt.Errorf("%.24q is not whole", value)
 			}
 			spec.Lanes = int(v)
 		case "load_ms":
--- a/internal/workerlink/link.go
+++ b/internal/workerlink/link.go
@@ -291,7 +291,7 @@
 	if r, queued := l.set.batched[id]; queued { // not sent yet, so it never ran
 		l.set.batches.Remove(batchKey{l.name, r.rpc.Function}, id)
 		delete(l.set.batched, id)
-		l.set.loop.Post(func() { l.callOutRequest(id).onEnded(router.Full, "cancelled before it was sent") })
+		l.set.loop.Post(func() { l.callOutRequest(id).onEnded(router.Full, "called off before it left") })
 		return
 	}
 	params := append(strconv.AppendUint([]byte(`{"id":`), uint64(id), 10), '}')
@@ -623,7 +623,7 @@
 	for _, id := range batchedIDs {
 		l.set.batches.Remove(batchKey{l.name, l.set.batched[id].rpc.Function}, id)
 		delete(l.set.batched, id)
-		l.callOutRequest(id).onEnded(router.ConnectFailed, "connection to "+l.name+" lost before it was sent")
+		l.callOutRequest(id).onEnded(router.ConnectFailed, "connection to "+l.name+" lost before it left")
 	}
 	inFlight := l.inFlight
 	l.inFlight = map[string]request{}
@@ -652,7 +652,7 @@
 // HandleInvalid implements jsonrpc.Handler. It ends the connection, since nothing after a malformed message can be
 // trusted.
 func (h *connHandler) HandleInvalid(_ jsonrpc.ID, _ int, message string) {
-	h.err = fmt.Errorf("malformed message from worker %s: %s", h.link.name, message)
+	h.err = fmt.Errorf("nonsense from worker %s: %s", h.link.name, message)
 }
 
 // HandleRequest implements jsonrpc.Handler.
@@ -678,11 +678,11 @@
 		}
 		switch {
 		case workerName != l.name:
-			h.err = fmt.Errorf("worker %.80q answered on the socket of worker %q", workerName, l.name)
+			h.err = fmt.Errorf("worker %.80q answers where %q should", workerName, l.name)
 		case version != ProtocolVersion:
-			h.err = fmt.Errorf("worker %s uses protocol version %v, want %d", l.name, version, ProtocolVersion)
+			h.err = fmt.Errorf("worker %s speaks protocol %v, not %d", l.name, version, ProtocolVersion)
 		case h.ready:
-			h.err = fmt.Errorf("worker %s sent client.ready twice", l.name)
+			h.err = fmt.Errorf("worker %s was ready before", l.name)
 		default:
 			h.ready = true
 			h.err = h.nc.SetReadDeadline(time.Time{})
@@ -691,7 +691,7 @@
 	case "client.codec": // the worker sends frames from here on
 		h.binary = h.ready
 	case "client.fail":
-		h.err = fmt.Errorf("worker %s reported a failure: %.200s", l.name, params)
+		h.err = fmt.Errorf("worker %s gives up: %.200s", l.name, params)
 	}
 }
 
@@ -701,7 +701,7 @@
 	if text, ok := jsonrpc.ParseString(jsonrpc.Member(result, "blob")); ok {
 		var err error
 		if blob, err = base64.StdEncoding.DecodeString(text); err != nil {
-			h.err = fmt.Errorf("worker %s: invalid blob: %w", h.link.name, err)
+			h.err = fmt.Errorf("worker %s: blob: %w", h.link.name, err)
 			return
 		}
 	}
