--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -269,8 +269,8 @@
 	if k == nil {
 		return nil, nil, nil
 	}
-	opts := kserve.Options{Name: f.Name, BodyBytes: k.BodyBytes, TimeHeader: k.TimeHeader,
-		CustomerHeader: k.CustomerHeader, TokenHeader: k.TokenHeader, Ready: watcher.Ready, Halted: eng.LoadsHalted, Log: log}
+	opts := kserve.Options{Name: f.Name, MaxBodyBytes: k.BodyBytes, TimeHeader: k.TimeHeader,
+		CustomerHeader: k.CustomerHeader, TokenHeader: k.TokenHeader, Ready: watcher.Ready, LoadsHalted: eng.LoadsHalted, Log: log}
 	opts.Models = modelsOf(f)
 	if k.TLS != nil {
 		store, err := certs.Open(certs.Files{Cert: k.TLS.Cert, Key: k.TLS.Key, ClientCA: k.TLS.ClientCA}, log)
@@ -281,14 +281,14 @@
 			store.Watch(ctx, eventloop.ToDuration(k.TLS.Reload), time.Duration(k.TLS.WarnDays*24*float64(time.Hour)))
 			return nil
 		})
-		opts.Keys = store
+		opts.Certs = store
 		for _, c := range k.TLS.Clients {
 			opts.Clients = append(opts.Clients, certs.Client{Name: c.Name, Customer: c.Customer, Methods: strings.Fields(c.Methods)})
 		}
 	}
 	server := kserve.New(loop, dispatcher, opts)
 	http, grpc := server.Serve, server.ServeGRPC
-	if opts.Keys != nil {
+	if opts.Certs != nil {
 		http, grpc = server.ServeTLS, server.ServeGRPCTLS
 	}
 	serves := map[string]func(net.Listener) error{"http unix": server.Serve, "http tcp": http, "grpc unix": server.ServeGRPC,
--- a/internal/kserve/grpc.go
+++ b/internal/kserve/grpc.go
@@ -30,41 +30,42 @@
 	"mallowlanding/internal/tensor"
 )
 
-// grpcFront serves the protocol's gRPC form for a Server.
-type grpcFront struct {
+// grpcService implements the protocol's gRPC service for a Server.
+type grpcService struct {
 	oip.UnimplementedGRPCInferenceServiceServer
 	s *Server
 }
 
-// newGRPC makes the gRPC server: a message over the bound is refused by its length, before it is read. A method's own
-// bound is known only once the message is: it is refused then.
-func newGRPC(s *Server, more ...grpc.ServerOption) *grpc.Server {
-	g := grpc.NewServer(append(more, grpc.MaxRecvMsgSize(int(s.o.BodyBytes)), grpc.StatsHandler(connStats{s}))...)
-	oip.RegisterGRPCInferenceServiceServer(g, &grpcFront{s: s})
+// newGRPC returns a gRPC server. It rejects a message longer than MaxBodyBytes by its length prefix, before reading
+// it. A method's own bound is checked by ModelInfer, since the method is known only once the message is read.
+func newGRPC(s *Server, opts ...grpc.ServerOption) *grpc.Server {
+	g := grpc.NewServer(append(opts, grpc.MaxRecvMsgSize(int(s.o.MaxBodyBytes)), grpc.StatsHandler(connStats{s}))...)
+	oip.RegisterGRPCInferenceServiceServer(g, &grpcService{s: s})
 	return g
 }
 
-// ServeGRPC takes gRPC connections until Close or Drain.
+// ServeGRPC accepts gRPC connections until Close or Drain.
 func (s *Server) ServeGRPC(l net.Listener) error { return s.grpc[0].Serve(l) }
 
-// ServeGRPCTLS is ServeGRPC with the keys.
+// ServeGRPCTLS is ServeGRPC with TLS, using Options.Certs.
 func (s *Server) ServeGRPCTLS(l net.Listener) error { return s.grpc[1].Serve(l) }
 
-// connStats gives each connection its place at the desk, and has it leave with the connection.
+// connStats is a stats handler that attaches a clientConn to each connection, and closes its counterpart at the
+// dispatcher when the connection ends.
 type connStats struct{ s *Server }
 
 // TagConn implements stats.Handler.
 func (connStats) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context {
-	return context.WithValue(ctx, connKey{}, &peer{})
+	return context.WithValue(ctx, connKey{}, &clientConn{})
 }
 
 // HandleConn implements stats.Handler.
-func (c connStats) HandleConn(ctx context.Context, what stats.ConnStats) {
-	if _, ended := what.(*stats.ConnEnd); ended {
-		p := ctx.Value(connKey{}).(*peer)
+func (c connStats) HandleConn(ctx context.Context, event stats.ConnStats) {
+	if _, ended := event.(*stats.ConnEnd); ended {
+		client := ctx.Value(connKey{}).(*clientConn)
 		c.s.loop.Post(func() {
-			if p.conn != nil {
-				p.conn.Close()
+			if client.conn != nil {
+				client.conn.Close()
 			}
 		})
 	}
@@ -77,18 +78,18 @@
 func (connStats) HandleRPC(context.Context, stats.RPCStats) {}
 
 // ServerLive implements the service.
-func (g *grpcFront) ServerLive(context.Context, *oip.ServerLiveRequest) (*oip.ServerLiveResponse, error) {
+func (g *grpcService) ServerLive(context.Context, *oip.ServerLiveRequest) (*oip.ServerLiveResponse, error) {
 	return &oip.ServerLiveResponse{Live: true}, nil
 }
 
 // ServerReady implements the service.
-func (g *grpcFront) ServerReady(context.Context, *oip.ServerReadyRequest) (*oip.ServerReadyResponse, error) {
+func (g *grpcService) ServerReady(context.Context, *oip.ServerReadyRequest) (*oip.ServerReadyResponse, error) {
 	return &oip.ServerReadyResponse{Ready: g.s.isReady(nil)}, nil
 }
 
 // ModelReady implements the service.
-func (g *grpcFront) ModelReady(_ context.Context, r *oip.ModelReadyRequest) (*oip.ModelReadyResponse, error) {
-	m, err := g.s.find(r.Name, r.Version)
+func (g *grpcService) ModelReady(_ context.Context, r *oip.ModelReadyRequest) (*oip.ModelReadyResponse, error) {
+	m, err := g.s.findModel(r.Name, r.Version)
 	if err != nil {
 		return nil, status.Error(codes.NotFound, err.Error())
 	}
@@ -96,25 +97,25 @@
 }
 
 // ServerMetadata implements the service.
-func (g *grpcFront) ServerMetadata(context.Context, *oip.ServerMetadataRequest) (*oip.ServerMetadataResponse, error) {
+func (g *grpcService) ServerMetadata(context.Context, *oip.ServerMetadataRequest) (*oip.ServerMetadataResponse, error) {
 	return &oip.ServerMetadataResponse{Name: g.s.o.Name, Version: "2"}, nil
 }
 
 // ModelMetadata implements the service.
-func (g *grpcFront) ModelMetadata(_ context.Context, r *oip.ModelMetadataRequest) (*oip.ModelMetadataResponse, error) {
-	m, err := g.s.find(r.Name, r.Version)
+func (g *grpcService) ModelMetadata(_ context.Context, r *oip.ModelMetadataRequest) (*oip.ModelMetadataResponse, error) {
+	m, err := g.s.findModel(r.Name, r.Version)
 	if err != nil {
 		return nil, status.Error(codes.NotFound, err.Error())
 	}
-	out := &oip.ModelMetadataResponse{Name: m.Name, Platform: m.Platform, Inputs: metadatas(m.Inputs),
-		Outputs: metadatas(m.Outputs)}
+	out := &oip.ModelMetadataResponse{Name: m.Name, Platform: m.Platform, Inputs: tensorMetadata(m.Inputs),
+		Outputs: tensorMetadata(m.Outputs)}
 	for _, v := range g.s.versions(m.Name) {
 		out.Versions = append(out.Versions, v.Version)
 	}
 	return out, nil
 }
 
-func metadatas(ts []TensorMeta) (out []*oip.ModelMetadataResponse_TensorMetadata) {
+func tensorMetadata(ts []TensorMeta) (out []*oip.ModelMetadataResponse_TensorMetadata) {
 	for _, t := range ts {
 		out = append(out, &oip.ModelMetadataResponse_TensorMetadata{Name: t.Name, Datatype: t.Datatype, Shape: t.Shape})
 	}
@@ -122,19 +123,19 @@
 }
 
 // ModelInfer implements the service.
-func (g *grpcFront) ModelInfer(ctx context.Context, r *oip.ModelInferRequest) (*oip.ModelInferResponse, error) {
-	came, s := time.Now(), g.s
-	m, err := s.find(r.ModelName, r.ModelVersion)
+func (g *grpcService) ModelInfer(ctx context.Context, r *oip.ModelInferRequest) (*oip.ModelInferResponse, error) {
+	received, s := time.Now(), g.s
+	m, err := s.findModel(r.ModelName, r.ModelVersion)
 	if err != nil {
 		return nil, status.Error(codes.NotFound, err.Error())
 	}
 	p := dispatch.Params{Method: m.Method, Function: m.Function, TimeoutMS: -1}
-	if deadline, has := ctx.Deadline(); has {
+	if deadline, ok := ctx.Deadline(); ok {
 		p.TimeoutMS = max(0, float64(time.Until(deadline))/float64(time.Millisecond))
 	}
 	md, _ := metadata.FromIncomingContext(ctx)
-	if v := md.Get(strings.ToLower(s.o.TimeHeader)); len(v) > 0 { // as over HTTP; the shorter one holds
-		ms, err := readTime(v[0])
+	if v := md.Get(strings.ToLower(s.o.TimeHeader)); len(v) > 0 { // as over HTTP; the shorter time applies
+		ms, err := parseMillis(v[0])
 		if err != nil {
 			return nil, status.Errorf(codes.InvalidArgument, "%s: %v", s.o.TimeHeader, err)
 		}
@@ -142,64 +143,65 @@
 			p.TimeoutMS = ms
 		}
 	}
-	for name, to := range map[string]*string{s.o.CustomerHeader: &p.Customer, s.o.TokenHeader: &p.Token} {
+	for name, dst := range map[string]*string{s.o.CustomerHeader: &p.Customer, s.o.TokenHeader: &p.Token} {
 		if v := md.Get(strings.ToLower(name)); len(v) > 0 {
-			*to = v[0]
+			*dst = v[0]
 		}
 	}
 	var state *tls.ConnectionState
-	if from, is := grpcpeer.FromContext(ctx); is {
-		if info, is := from.AuthInfo.(credentials.TLSInfo); is {
+	if p, ok := grpcpeer.FromContext(ctx); ok {
+		if info, ok := p.AuthInfo.(credentials.TLSInfo); ok {
 			state = &info.State
 		}
 	}
 	client, err := certs.FindClient(s.o.Clients, state)
 	if err == nil {
-		err = client.Authorize(s.desk.MethodAt(m.Method).Name, &p.Customer)
+		err = client.Authorize(s.dispatcher.MethodAt(m.Method).Name, &p.Customer)
 	}
 	if err != nil {
 		return nil, status.Error(codes.PermissionDenied, err.Error())
 	}
-	if most := s.desk.MethodAt(m.Method).MaxBytes; most > 0 && int64(proto.Size(r)) > most {
-		return nil, status.Errorf(codes.ResourceExhausted, "a message of %d bytes, %d are taken", proto.Size(r), most)
+	if maxBytes := s.dispatcher.MethodAt(m.Method).MaxBytes; maxBytes > 0 && int64(proto.Size(r)) > maxBytes {
+		return nil, status.Errorf(codes.ResourceExhausted, "a message of %d bytes, %d are taken", proto.Size(r), maxBytes)
 	}
 	in, err := fromProto(r)
 	if err == nil {
-		err = m.check(&in)
+		err = m.validate(&in)
 	}
 	if err == nil {
-		err = s.desk.Validate(&p)
+		err = s.dispatcher.Validate(&p)
 	}
 	if err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
-	p.Payload, p.Blob = in.payload(m.Name, m.Version)
-	o, there := s.ask(ctx, ctx.Value(connKey{}).(*peer), p, came)
-	if !there {
+	p.Payload, p.Blob = in.workerPayload(m.Name, m.Version)
+	o, answered := s.submit(ctx, ctx.Value(connKey{}).(*clientConn), p, received)
+	if !answered {
 		return nil, status.FromContextError(ctx.Err()).Err()
 	}
 	switch o.kind {
-	case isDenied:
+	case outcomeDenied:
 		st := status.New(codes.Unavailable, o.message)
-		info := &errdetails.RetryInfo{RetryDelay: durationpb.New(eventloop.ToDuration(o.comeBack))}
-		if with, err := st.WithDetails(info); err == nil {
-			st = with
+		info := &errdetails.RetryInfo{RetryDelay: durationpb.New(eventloop.ToDuration(o.retryAfter))}
+		if detailed, err := st.WithDetails(info); err == nil {
+			st = detailed
 		}
 		return nil, st.Err()
-	case isAborted:
+	case outcomeAborted:
 		return nil, status.Error(codes.Unknown, o.message)
-	case isRefused:
+	case outcomeRejected:
 		return nil, status.Error(codes.InvalidArgument, o.message)
 	}
-	chosen, _, err := in.choose(m.Name, o.value, o.blob)
-	if err != nil { // it ran: a client must not take this for a denial
+	selected, _, err := in.selectOutputs(m.Name, o.value, o.blob)
+	if err != nil { // the RPC ran: the client must not take this for a denial
 		return nil, status.Error(codes.Unknown, err.Error())
 	}
-	return toProto(r, m, chosen), nil
+	return toProto(r, m, selected), nil
 }
 
-// fromProto takes an infer off its message. Each input has either its contents or its place in the raw contents.
-func fromProto(r *oip.ModelInferRequest) (in infer, err error) {
+// fromProto converts a gRPC message to an infer request. Either every input has its own contents, or the message has
+// the raw contents of all.
+func fromProto(r *oip.ModelInferRequest) (in inferRequest, err error) {
 	in.id, in.binary = r.Id, len(r.RawInputContents) > 0
 	if in.binary && len(r.RawInputContents) != len(r.Inputs) {
 		return in, fmt.Errorf("%d raw input contents for %d inputs", len(r.RawInputContents), len(r.Inputs))
@@ -207,7 +209,7 @@
 	if len(r.Inputs) == 0 {
 		return in, fmt.Errorf("no inputs")
 	}
-	if in.parameters, err = parametersOf(r.Parameters); err != nil {
+	if in.parameters, err = parametersJSON(r.Parameters); err != nil {
 		return in, err
 	}
 	for i, input := range r.Inputs {
@@ -218,7 +220,7 @@
 			}
 			t.Raw = r.RawInputContents[i]
 		} else if input.Contents != nil {
-			if t.Raw, err = rawOf(t.Datatype, input.Contents); err != nil {
+			if t.Raw, err = encodeContents(t.Datatype, input.Contents); err != nil {
 				return in, fmt.Errorf("input %q: %w", t.Name, err)
 			}
 		}
@@ -228,13 +230,13 @@
 		in.inputs = append(in.inputs, t)
 	}
 	for _, o := range r.Outputs {
-		in.outputs = append(in.outputs, wanted{name: o.Name})
+		in.outputs = append(in.outputs, requestedOutput{name: o.Name})
 	}
 	return in, nil
 }
 
-// parametersOf gives parameters as the JSON that the other form has; nil: there are none.
-func parametersOf(ps map[string]*oip.InferParameter) (jsontext.Value, error) {
+// parametersJSON converts parameters to a JSON object, as HTTP requests have them; nil if there are none.
+func parametersJSON(ps map[string]*oip.InferParameter) (jsontext.Value, error) {
 	if len(ps) == 0 {
 		return nil, nil
 	}
@@ -256,17 +258,18 @@
 		}
 	}
 	b, err := json.Marshal(values, json.Deterministic(true))
-	if err != nil { // not a number
+	if err != nil { // JSON has no NaN or infinities
 		return nil, fmt.Errorf("parameters: %w", err)
 	}
 	return b, nil
 }
 
-// rawOf gives typed contents as bytes; the fields are the specification's for each datatype.
-func rawOf(datatype string, c *oip.InferTensorContents) (raw []byte, err error) {
+// encodeContents encodes typed contents as a tensor's bytes. Which field holds the elements of a datatype is laid down
+// by the specification.
+func encodeContents(datatype string, c *oip.InferTensorContents) (raw []byte, err error) {
 	le := binary.LittleEndian
-	small := func(v int64, least, most int64) {
-		if v < least || v > most {
+	checkRange := func(v int64, minValue, maxValue int64) {
+		if v < minValue || v > maxValue {
 			err = fmt.Errorf("%d is no %s", v, datatype)
 		}
 	}
@@ -281,12 +284,12 @@
 		}
 	case "INT8":
 		for _, v := range c.IntContents {
-			small(int64(v), math.MinInt8, math.MaxInt8)
+			checkRange(int64(v), math.MinInt8, math.MaxInt8)
 			raw = append(raw, byte(v))
 		}
 	case "INT16":
 		for _, v := range c.IntContents {
-			small(int64(v), math.MinInt16, math.MaxInt16)
+			checkRange(int64(v), math.MinInt16, math.MaxInt16)
 			raw = le.AppendUint16(raw, uint16(v))
 		}
 	case "INT32":
@@ -299,12 +302,12 @@
 		}
 	case "UINT8":
 		for _, v := range c.UintContents {
-			small(int64(v), 0, math.MaxUint8)
+			checkRange(int64(v), 0, math.MaxUint8)
 			raw = append(raw, byte(v))
 		}
 	case "UINT16":
 		for _, v := range c.UintContents {
-			small(int64(v), 0, math.MaxUint16)
+			checkRange(int64(v), 0, math.MaxUint16)
 			raw = le.AppendUint16(raw, uint16(v))
 		}
 	case "UINT32":
@@ -333,7 +336,7 @@
 	return raw, err
 }
 
-// toProto makes the answer: raw contents, as they are and without a copy for each element.
+// toProto builds the response. Outputs are sent as raw contents, which needs no conversion of each element.
 func toProto(r *oip.ModelInferRequest, m *Model, outputs []tensor.Tensor) *oip.ModelInferResponse {
 	out := &oip.ModelInferResponse{ModelName: m.Name, ModelVersion: m.Version, Id: r.Id}
 	for _, t := range outputs {
--- a/internal/kserve/http.go
+++ b/internal/kserve/http.go
@@ -28,100 +28,101 @@
 	"mallowlanding/router"
 )
 
-// TensorMeta is what the metadata tell of an input or output; -1 in a shape: of any length.
+// TensorMeta is the metadata of a model's input or output. A dimension of -1 in Shape stands for any length.
 type TensorMeta struct {
 	Name, Datatype string
 	Shape          []int64
 }
 
-// Model is one version of a model that is served: a function, asked for by a method.
+// Model is one version of a served model. An infer request for it becomes an RPC of Method that runs Function.
 type Model struct {
 	Name, Version, Platform string
-	Method                  int // place in the settings
+	Method                  int // index of the method in the settings
 	Function                string
 	Inputs, Outputs         []TensorMeta
 }
 
-// Options are a server's settings.
+// Options are a server's settings. Ready and LoadsHalted are called on the event loop.
 type Options struct {
-	Name                                    string // of the server, in its metadata
+	Name                                    string // the server's name in its metadata
 	Models                                  []Model
-	BodyBytes                               int64 // a larger body is refused before it is read
+	MaxBodyBytes                            int64 // larger bodies are rejected before they are read
 	TimeHeader, CustomerHeader, TokenHeader string
-	Keys                                    *certs.Store // of ServeTLS and ServeGRPCTLS; nil: they are not used
+	Certs                                   *certs.Store // for ServeTLS and ServeGRPCTLS; nil if neither is used
 	Clients                                 []certs.Client
-	Ready                                   func() bool                // in a turn: RPCs are taken, and somebody could run them
-	Halted                                  func(function string) bool // in a turn: loads of it are halted, and no copy stands
+	Ready                                   func() bool                // RPCs are accepted, and some worker could run them
+	LoadsHalted                             func(function string) bool // its loads are halted, and no copy of it is loaded
 	Log                                     zerolog.Logger
 }
 
-// Server answers the protocol's HTTP paths.
+// Server serves the protocol over HTTP and gRPC.
 type Server struct {
-	o      Options
-	loop   *eventloop.Loop
-	desk   *dispatch.Dispatcher
-	models atomic.Pointer[map[string][]*Model] // versions of each, in their order
-	http   http.Server
-	grpc   []*grpc.Server // plain, and with TLS where there are keys
+	o          Options
+	loop       *eventloop.Loop
+	dispatcher *dispatch.Dispatcher
+	models     atomic.Pointer[map[string][]*Model] // by name: the model's versions, in the order of the settings
+	http       http.Server
+	grpc       []*grpc.Server // without TLS and, if there are certificates, with TLS
 
 	mu    sync.Mutex
-	conns map[net.Conn]*peer
+	conns map[net.Conn]*clientConn
 }
 
-// peer is one HTTP connection's place at the desk; its fields are the loop's.
-type peer struct {
+// clientConn is a client's connection, HTTP or gRPC. conn is its counterpart at the dispatcher, opened by the first
+// infer request; it belongs to the event loop.
+type clientConn struct {
 	conn *dispatch.Conn
 }
 
 type connKey struct{}
 
-// New makes a server for a desk that loop drives.
+// New returns a server that submits RPCs to d, which runs on loop.
 func New(loop *eventloop.Loop, d *dispatch.Dispatcher, o Options) *Server {
-	s := &Server{o: o, loop: loop, desk: d, conns: map[net.Conn]*peer{}}
+	s := &Server{o: o, loop: loop, dispatcher: d, conns: map[net.Conn]*clientConn{}}
 	s.UpdateSettings(o.Models)
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v2/health/live", func(w http.ResponseWriter, _ *http.Request) { write(w, 200, []byte(`{"live":true}`)) })
-	mux.HandleFunc("GET /v2/health/ready", s.ready)
-	mux.HandleFunc("GET /v2", s.metadata)
+	mux.HandleFunc("GET /v2/health/live", func(w http.ResponseWriter, _ *http.Request) { writeResponse(w, 200, []byte(`{"live":true}`)) })
+	mux.HandleFunc("GET /v2/health/ready", s.handleReady)
+	mux.HandleFunc("GET /v2", s.handleMetadata)
 	for _, version := range []string{"", "/versions/{version}"} {
-		mux.HandleFunc("GET /v2/models/{model}"+version, s.modelMetadata)
-		mux.HandleFunc("GET /v2/models/{model}"+version+"/ready", s.modelReady)
-		mux.HandleFunc("POST /v2/models/{model}"+version+"/infer", s.infer)
+		mux.HandleFunc("GET /v2/models/{model}"+version, s.handleModelMetadata)
+		mux.HandleFunc("GET /v2/models/{model}"+version+"/ready", s.handleModelReady)
+		mux.HandleFunc("POST /v2/models/{model}"+version+"/infer", s.handleInfer)
 	}
 	for _, path := range []string{"/v2/repository/", "/v2/models/{model}/config", "/v2/models/{model}/stats",
 		"/v2/models/{model}/generate", "/v2/systemsharedmemory/", "/v2/cudasharedmemory/"} {
 		mux.HandleFunc(path, func(w http.ResponseWriter, r *http.Request) {
-			fail(w, http.StatusNotImplemented, "not served here: "+r.URL.Path)
+			writeError(w, http.StatusNotImplemented, "not served here: "+r.URL.Path)
 		})
 	}
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
-		fail(w, http.StatusNotFound, fmt.Sprintf("no such path, or not by %s: %.80s", r.Method, r.URL.Path))
+		writeError(w, http.StatusNotFound, fmt.Sprintf("no such path, or not by %s: %.80s", r.Method, r.URL.Path))
 	})
-	s.http = http.Server{Handler: mux, ReadHeaderTimeout: headerTimeOut, ConnContext: s.connected,
-		ConnState: s.state}
+	s.http = http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, ConnContext: s.connContext,
+		ConnState: s.connState}
 	s.grpc = []*grpc.Server{newGRPC(s)}
-	if o.Keys != nil {
-		s.grpc = append(s.grpc, newGRPC(s, grpc.Creds(credentials.NewTLS(o.Keys.ServerConfig("h2")))))
+	if o.Certs != nil {
+		s.grpc = append(s.grpc, newGRPC(s, grpc.Creds(credentials.NewTLS(o.Certs.ServerConfig("h2")))))
 	}
 	return s
 }
 
-// UpdateSettings takes new models; infers that came before keep theirs.
+// UpdateSettings replaces the models; requests received before keep the model they were received for.
 func (s *Server) UpdateSettings(models []Model) {
-	by := map[string][]*Model{}
+	byName := map[string][]*Model{}
 	for i := range models {
-		by[models[i].Name] = append(by[models[i].Name], &models[i])
+		byName[models[i].Name] = append(byName[models[i].Name], &models[i])
 	}
-	s.models.Store(&by)
+	s.models.Store(&byName)
 }
 
-// versions are those of a model.
+// versions returns the versions of a model.
 func (s *Server) versions(model string) []*Model { return (*s.models.Load())[model] }
 
-// headerTimeOut bounds how long a client may take over its headers.
-const headerTimeOut = 10 * time.Second
+// headerTimeout bounds the time in which a client must send its request headers.
+const headerTimeout = 10 * time.Second
 
-// Serve takes connections until Close or Drain.
+// Serve accepts HTTP connections until Close or Drain.
 func (s *Server) Serve(l net.Listener) error {
 	if err := s.http.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 		return err
@@ -129,17 +130,17 @@
 	return nil
 }
 
-// ServeTLS is Serve with the keys.
+// ServeTLS is Serve with TLS, using Options.Certs.
 func (s *Server) ServeTLS(l net.Listener) error {
-	return s.Serve(tls.NewListener(l, s.o.Keys.ServerConfig("http/1.1")))
+	return s.Serve(tls.NewListener(l, s.o.Certs.ServerConfig("http/1.1")))
 }
 
-// Drain takes no more connections, and returns once all that came are answered or the context ends.
+// Drain stops accepting connections, and returns when all requests received are answered or the context ends.
 func (s *Server) Drain(ctx context.Context) {
 	stopped := make(chan struct{})
 	go func() {
 		defer close(stopped)
-		for _, g := range s.grpc { // GOAWAY, then what is open is answered
+		for _, g := range s.grpc { // sends GOAWAY, and waits until open requests are answered
 			g.GracefulStop()
 		}
 	}()
@@ -154,7 +155,7 @@
 	}
 }
 
-// Close ends all connections.
+// Close closes all connections at once.
 func (s *Server) Close() {
 	_ = s.http.Close()
 	for _, g := range s.grpc {
@@ -162,32 +163,32 @@
 	}
 }
 
-func (s *Server) connected(ctx context.Context, nc net.Conn) context.Context {
-	p := &peer{}
+func (s *Server) connContext(ctx context.Context, nc net.Conn) context.Context {
+	c := &clientConn{}
 	s.mu.Lock()
-	s.conns[nc] = p
+	s.conns[nc] = c
 	s.mu.Unlock()
-	return context.WithValue(ctx, connKey{}, p)
+	return context.WithValue(ctx, connKey{}, c)
 }
 
-func (s *Server) state(nc net.Conn, state http.ConnState) {
+func (s *Server) connState(nc net.Conn, state http.ConnState) {
 	if state != http.StateClosed && state != http.StateHijacked {
 		return
 	}
 	s.mu.Lock()
-	p := s.conns[nc]
+	c := s.conns[nc]
 	delete(s.conns, nc)
 	s.mu.Unlock()
-	if p != nil {
+	if c != nil {
 		s.loop.Post(func() {
-			if p.conn != nil {
-				p.conn.Close()
+			if c.conn != nil {
+				c.conn.Close()
 			}
 		})
 	}
 }
 
-func write(w http.ResponseWriter, status int, body []byte, tail ...[]byte) {
+func writeResponse(w http.ResponseWriter, status int, body []byte, tail ...[]byte) {
 	if w.Header().Get("Content-Type") == "" {
 		w.Header().Set("Content-Type", "application/json")
 	}
@@ -203,37 +204,38 @@
 	}
 }
 
-func fail(w http.ResponseWriter, status int, message string) {
-	write(w, status, append(jsonrpc.AppendString([]byte(`{"error":`), message), '}'))
+func writeError(w http.ResponseWriter, status int, message string) {
+	writeResponse(w, status, append(jsonrpc.AppendString([]byte(`{"error":`), message), '}'))
 }
 
-// isReady asks in a turn; of a model, too, unless it is nil.
+// isReady reports, from a turn of the event loop, whether the server is ready and, unless m is nil, whether loads of
+// the model m are not halted.
 func (s *Server) isReady(m *Model) bool {
-	got := make(chan bool, 1)
+	ready := make(chan bool, 1)
 	if !s.loop.Post(func() {
-		got <- !s.desk.Draining() && (s.o.Ready == nil || s.o.Ready()) &&
-			(m == nil || s.o.Halted == nil || !s.o.Halted(m.Function))
+		ready <- !s.dispatcher.Draining() && (s.o.Ready == nil || s.o.Ready()) &&
+			(m == nil || s.o.LoadsHalted == nil || !s.o.LoadsHalted(m.Function))
 	}) {
 		return false
 	}
-	return <-got
+	return <-ready
 }
 
-func (s *Server) ready(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) handleReady(w http.ResponseWriter, _ *http.Request) {
 	if s.isReady(nil) {
-		write(w, 200, []byte(`{"ready":true}`))
+		writeResponse(w, 200, []byte(`{"ready":true}`))
 		return
 	}
-	write(w, http.StatusServiceUnavailable, []byte(`{"ready":false}`))
+	writeResponse(w, http.StatusServiceUnavailable, []byte(`{"ready":false}`))
 }
 
-func (s *Server) metadata(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) handleMetadata(w http.ResponseWriter, _ *http.Request) {
 	b := jsonrpc.AppendString([]byte(`{"name":`), s.o.Name)
-	write(w, 200, append(b, `,"version":"2","extensions":["binary_tensor_data"]}`...))
+	writeResponse(w, 200, append(b, `,"version":"2","extensions":["binary_tensor_data"]}`...))
 }
 
-// find finds a model; without a version the last one stated is meant.
-func (s *Server) find(name, version string) (*Model, error) {
+// findModel finds a version of a model; an empty version selects the last one in the settings.
+func (s *Server) findModel(name, version string) (*Model, error) {
 	versions := s.versions(name)
 	for i := len(versions) - 1; i >= 0; i-- {
 		if version == "" || versions[i].Version == version {
@@ -246,17 +248,17 @@
 	return nil, fmt.Errorf("model %q has no version %.80q", name, version)
 }
 
-// model finds the model that a path names, or says that there is none.
-func (s *Server) model(w http.ResponseWriter, r *http.Request) *Model {
-	m, err := s.find(r.PathValue("model"), r.PathValue("version"))
+// pathModel finds the model that the request's path names. If there is none it answers with 404 and returns nil.
+func (s *Server) pathModel(w http.ResponseWriter, r *http.Request) *Model {
+	m, err := s.findModel(r.PathValue("model"), r.PathValue("version"))
 	if err != nil {
-		fail(w, http.StatusNotFound, err.Error())
+		writeError(w, http.StatusNotFound, err.Error())
 	}
 	return m
 }
 
-func (s *Server) modelReady(w http.ResponseWriter, r *http.Request) {
-	m := s.model(w, r)
+func (s *Server) handleModelReady(w http.ResponseWriter, r *http.Request) {
+	m := s.pathModel(w, r)
 	if m == nil {
 		return
 	}
@@ -265,11 +267,11 @@
 		status = http.StatusServiceUnavailable
 	}
 	b := jsonrpc.AppendString([]byte(`{"name":`), m.Name)
-	write(w, status, append(strconv.AppendBool(append(b, `,"ready":`...), ready), '}'))
+	writeResponse(w, status, append(strconv.AppendBool(append(b, `,"ready":`...), ready), '}'))
 }
 
-func (s *Server) modelMetadata(w http.ResponseWriter, r *http.Request) {
-	m := s.model(w, r)
+func (s *Server) handleModelMetadata(w http.ResponseWriter, r *http.Request) {
+	m := s.pathModel(w, r)
 	if m == nil {
 		return
 	}
@@ -297,20 +299,20 @@
 		}
 		b = append(b, ']')
 	}
-	write(w, 200, append(b, '}'))
+	writeResponse(w, 200, append(b, '}'))
 }
 
-// check holds an infer against the model's metadata, where they name inputs or outputs: what is wrong is said before
-// anything runs.
-func (m *Model) check(in *infer) error {
+// validate checks an infer request against the inputs and outputs that the model's metadata lists, if any, so that a
+// wrong request is rejected before anything runs.
+func (m *Model) validate(in *inferRequest) error {
 	for _, t := range in.inputs {
-		at := slices.IndexFunc(m.Inputs, func(i TensorMeta) bool { return i.Name == t.Name })
-		if at < 0 && len(m.Inputs) > 0 {
+		index := slices.IndexFunc(m.Inputs, func(i TensorMeta) bool { return i.Name == t.Name })
+		if index < 0 && len(m.Inputs) > 0 {
 			return fmt.Errorf("model %q has no input %q", m.Name, t.Name)
 		}
-		if at >= 0 && (m.Inputs[at].Datatype != t.Datatype || !fits(m.Inputs[at].Shape, t.Shape)) {
+		if index >= 0 && (m.Inputs[index].Datatype != t.Datatype || !shapeAllowed(m.Inputs[index].Shape, t.Shape)) {
 			return fmt.Errorf("input %q is %s %v, model %q takes %s %v", t.Name, t.Datatype, t.Shape, m.Name,
-				m.Inputs[at].Datatype, m.Inputs[at].Shape)
+				m.Inputs[index].Datatype, m.Inputs[index].Shape)
 		}
 	}
 	for _, i := range m.Inputs {
@@ -326,93 +328,94 @@
 	return nil
 }
 
-// fits tells whether a shape is one of those that want allows.
-func fits(want, got []int64) bool {
-	if len(want) != len(got) {
+// shapeAllowed reports whether shape matches allowed, in which -1 stands for any length.
+func shapeAllowed(allowed, shape []int64) bool {
+	if len(allowed) != len(shape) {
 		return false
 	}
-	for i := range want {
-		if want[i] >= 0 && want[i] != got[i] {
+	for i := range allowed {
+		if allowed[i] >= 0 && allowed[i] != shape[i] {
 			return false
 		}
 	}
 	return true
 }
 
-// outcome is an RPC's one answer.
+// outcome is the final answer of an RPC.
 type outcome struct {
-	kind     kind
-	value    []byte // of ok
-	blob     []byte // likewise
-	message  string // of all others
-	comeBack router.Time
+	kind       outcomeKind
+	value      []byte // for outcomeOK
+	blob       []byte // for outcomeOK: the bytes of the output tensors
+	message    string // for all others
+	retryAfter router.Time
 }
 
-type kind uint8
+type outcomeKind uint8
 
 const (
-	isOK kind = iota
-	isDenied
-	isAborted
-	isRefused
+	outcomeOK outcomeKind = iota
+	outcomeDenied
+	outcomeAborted
+	outcomeRejected
 )
 
-// reply waits for an RPC's one answer. It is the desk's Reply.
+// reply receives the final answer of an RPC; it implements dispatch.Reply. Its buffer holds the one answer, so that
+// sending never blocks the event loop.
 type reply chan outcome
 
-// OK implements front.Reply.
-func (r reply) OK(result, blob []byte) { r <- outcome{kind: isOK, value: result, blob: blob} }
+// OK implements dispatch.Reply.
+func (r reply) OK(result, blob []byte) { r <- outcome{kind: outcomeOK, value: result, blob: blob} }
 
-// Denied implements front.Reply.
-func (r reply) Denied(message string, comeBack router.Time) {
-	r <- outcome{kind: isDenied, message: message, comeBack: comeBack}
+// Denied implements dispatch.Reply.
+func (r reply) Denied(message string, retryAfter router.Time) {
+	r <- outcome{kind: outcomeDenied, message: message, retryAfter: retryAfter}
 }
 
-// Aborted implements front.Reply.
+// Aborted implements dispatch.Reply.
 func (r reply) Aborted(cause string) {
-	r <- outcome{kind: isAborted, message: "aborted, it may have run: " + cause}
+	r <- outcome{kind: outcomeAborted, message: "aborted, it may have run: " + cause}
 }
 
-// Rejected implements front.Reply.
-func (r reply) Rejected(message string) { r <- outcome{kind: isRefused, message: message} }
+// Rejected implements dispatch.Reply.
+func (r reply) Rejected(message string) { r <- outcome{kind: outcomeRejected, message: message} }
 
-// ask brings an infer to the desk and waits for its answer; false: its client has left.
-func (s *Server) ask(ctx context.Context, at *peer, p dispatch.Params, came time.Time) (outcome, bool) {
-	got := make(reply, 1)
-	var ask *dispatch.Request
+// submit hands an RPC to the dispatcher and waits for its answer; it returns false if the client left first.
+func (s *Server) submit(ctx context.Context, client *clientConn, p dispatch.Params, received time.Time) (outcome, bool) {
+	answer := make(reply, 1)
+	var request *dispatch.Request
 	if !s.loop.Post(func() {
-		if at.conn == nil {
-			at.conn = s.desk.OpenConn(admission.PeerID(0))
+		if client.conn == nil {
+			client.conn = s.dispatcher.OpenConn(admission.PeerID(0))
 		}
-		ask = at.conn.Submit(p, eventloop.FromDuration(time.Since(came)), got)
+		request = client.conn.Submit(p, eventloop.FromDuration(time.Since(received)), answer)
 	}) {
-		got.Denied("denied: this front end has stopped", 0)
+		answer.Denied("denied: this front end has stopped", 0)
 	}
 	select {
-	case o := <-got:
+	case o := <-answer:
 		return o, true
 	case <-ctx.Done():
 		s.loop.Post(func() {
-			if ask != nil {
-				ask.Abandon()
+			if request != nil {
+				request.Abandon()
 			}
 		})
 		return outcome{}, false
 	}
 }
 
-// readBody reads a body into one piece of memory of its size, where that was told.
-func readBody(from io.Reader, told int64) ([]byte, error) {
-	if told < 0 {
-		return io.ReadAll(from)
+// readBody reads a body; if its length is known (not negative), into a single allocation of that size.
+func readBody(r io.Reader, length int64) ([]byte, error) {
+	if length < 0 {
+		return io.ReadAll(r)
 	}
-	body := make([]byte, told)
-	_, err := io.ReadFull(from, body)
+	body := make([]byte, length)
+	_, err := io.ReadFull(r, body)
 	return body, err
 }
 
-// readTime reads a time in ms of a header.
-func readTime(text string) (float64, error) {
+// parseMillis parses a header's time in milliseconds.
+func parseMillis(text string) (float64, error) {
 	ms, err := strconv.ParseFloat(text, 64)
 	if err != nil || ms < 0 || math.IsInf(ms, 0) || math.IsNaN(ms) {
 		return 0, fmt.Errorf("must be a time in ms, not %.40q", text)
@@ -420,92 +423,93 @@
 	return ms, nil
 }
 
-func (s *Server) infer(w http.ResponseWriter, r *http.Request) {
-	came := time.Now()
-	m := s.model(w, r)
+func (s *Server) handleInfer(w http.ResponseWriter, r *http.Request) {
+	received := time.Now()
+	m := s.pathModel(w, r)
 	if m == nil {
 		return
 	}
-	most := s.o.BodyBytes
-	if bound := s.desk.MethodAt(m.Method).MaxBytes; bound > 0 {
-		most = min(most, bound)
+	maxBytes := s.o.MaxBodyBytes
+	if methodMax := s.dispatcher.MethodAt(m.Method).MaxBytes; methodMax > 0 {
+		maxBytes = min(maxBytes, methodMax)
 	}
-	if r.ContentLength > most {
+	if r.ContentLength > maxBytes {
 		w.Header().Set("Connection", "close")
-		fail(w, http.StatusRequestEntityTooLarge, fmt.Sprintf("a body of %d bytes, %d are taken", r.ContentLength, most))
+		writeError(w, http.StatusRequestEntityTooLarge, fmt.Sprintf("a body of %d bytes, %d are taken", r.ContentLength, maxBytes))
 		return
 	}
 	p := dispatch.Params{Method: m.Method, Function: m.Function, TimeoutMS: -1,
 		Customer: r.Header.Get(s.o.CustomerHeader), Token: r.Header.Get(s.o.TokenHeader)}
 	client, err := certs.FindClient(s.o.Clients, r.TLS)
 	if err == nil {
-		err = client.Authorize(s.desk.MethodAt(m.Method).Name, &p.Customer)
+		err = client.Authorize(s.dispatcher.MethodAt(m.Method).Name, &p.Customer)
 	}
 	if err != nil {
-		fail(w, http.StatusForbidden, err.Error())
+		writeError(w, http.StatusForbidden, err.Error())
 		return
 	}
 	if text := r.Header.Get(s.o.TimeHeader); text != "" {
-		if p.TimeoutMS, err = readTime(text); err != nil {
-			fail(w, http.StatusBadRequest, fmt.Sprintf("header %s %v", s.o.TimeHeader, err))
+		if p.TimeoutMS, err = parseMillis(text); err != nil {
+			writeError(w, http.StatusBadRequest, fmt.Sprintf("header %s %v", s.o.TimeHeader, err))
 			return
 		}
 	}
-	head := -1
+	jsonLen := -1
 	if text := r.Header.Get("Inference-Header-Content-Length"); text != "" {
 		n, err := strconv.ParseUint(text, 10, 31)
 		if err != nil {
-			fail(w, http.StatusBadRequest, fmt.Sprintf("header Inference-Header-Content-Length is no length: %.40q", text))
+			writeError(w, http.StatusBadRequest, fmt.Sprintf("header Inference-Header-Content-Length is no length: %.40q", text))
 			return
 		}
-		head = int(n)
+		jsonLen = int(n)
 	}
-	body, err := readBody(http.MaxBytesReader(w, r.Body, most), r.ContentLength)
+	body, err := readBody(http.MaxBytesReader(w, r.Body, maxBytes), r.ContentLength)
 	if err != nil {
 		status := http.StatusBadRequest
 		if tooLarge := (*http.MaxBytesError)(nil); errors.As(err, &tooLarge) {
 			status = http.StatusRequestEntityTooLarge
 		}
-		fail(w, status, "body: "+err.Error())
+		writeError(w, status, "body: "+err.Error())
 		return
 	}
-	in, err := readInfer(body, head)
+	in, err := parseInfer(body, jsonLen)
 	if err == nil {
-		err = m.check(&in)
+		err = m.validate(&in)
 	}
 	if err == nil {
-		err = s.desk.Validate(&p)
+		err = s.dispatcher.Validate(&p)
 	}
 	if err != nil {
-		fail(w, http.StatusBadRequest, err.Error())
+		writeError(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	p.Payload, p.Blob = in.payload(m.Name, m.Version)
-	o, there := s.ask(r.Context(), r.Context().Value(connKey{}).(*peer), p, came)
-	if !there {
+	p.Payload, p.Blob = in.workerPayload(m.Name, m.Version)
+	o, answered := s.submit(r.Context(), r.Context().Value(connKey{}).(*clientConn), p, received)
+	if !answered {
 		return
 	}
 	switch o.kind {
-	case isDenied:
-		// whole seconds are all that the header knows: at least one, so that nobody comes back at once
-		w.Header().Set("Retry-After", strconv.Itoa(int(math.Max(1, math.Ceil(float64(o.comeBack)/10000)))))
-		fail(w, http.StatusServiceUnavailable, o.message)
+	case outcomeDenied:
+		// Retry-After is in whole seconds (a router.Time is in 0.1 ms): round up, and ask for 1 s at least, so that no
+		// client retries at once
+		w.Header().Set("Retry-After", strconv.Itoa(int(math.Max(1, math.Ceil(float64(o.retryAfter)/10000)))))
+		writeError(w, http.StatusServiceUnavailable, o.message)
 		return
-	case isAborted:
-		fail(w, http.StatusInternalServerError, o.message)
+	case outcomeAborted:
+		writeError(w, http.StatusInternalServerError, o.message)
 		return
-	case isRefused:
-		fail(w, http.StatusBadRequest, o.message)
+	case outcomeRejected:
+		writeError(w, http.StatusBadRequest, o.message)
 		return
 	}
-	out, tail, err := in.answer(m.Name, m.Version, o.value, o.blob)
-	if err != nil { // it ran: a client must not take this for a denial
-		fail(w, http.StatusInternalServerError, err.Error())
+	out, tail, err := in.response(m.Name, m.Version, o.value, o.blob)
+	if err != nil { // the RPC ran: the client must not take this for a denial
+		writeError(w, http.StatusInternalServerError, err.Error())
 		return
 	}
 	if tail != nil {
 		w.Header().Set("Inference-Header-Content-Length", strconv.Itoa(len(out)))
 		w.Header().Set("Content-Type", "application/octet-stream")
 	}
-	write(w, 200, out, tail...)
+	writeResponse(w, 200, out, tail...)
 }
--- a/internal/kserve/http_test.go
+++ b/internal/kserve/http_test.go
@@ -35,15 +35,15 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// start runs a roster, a stand-in worker with models, and a front end with both fronts; it returns the folder of
-// their sockets.
-func start(t *testing.T) string {
-	dir, _ := startAndStop(t)
+// startService runs a roster, a stand-in worker with models, and a front end that serves HTTP and gRPC. It returns the
+// directory of their sockets.
+func startService(t *testing.T) string {
+	dir, _ := startServiceWithStop(t)
 	return dir
 }
 
-// startAndStop is start; stop tells the front end alone to leave.
-func startAndStop(t *testing.T) (dir string, stop func()) {
+// startServiceWithStop is startService; stop drains and stops only the front end.
+func startServiceWithStop(t *testing.T) (dir string, stop func()) {
 	dir, err := os.MkdirTemp("", "ml")
 	if err != nil {
 		t.Fatal(err)
@@ -77,7 +77,7 @@
 			Write(t, filepath.Join(dir, name+".pem"), filepath.Join(dir, name+".key"))
 	}
 	ports := map[string]string{}
-	for _, name := range []string{"https", "grpcs"} { // free a moment ago
+	for _, name := range []string{"https", "grpcs"} { // ports that were free a moment ago
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -115,21 +115,22 @@
 	run(func(ready func()) error { return standin.Roster(ctx, rs, zerolog.Nop(), ready) })
 	run(func(ready func()) error { return standin.Worker(ctx, ws, 0, zerolog.Nop(), ready) })
 	run(func(ready func()) error { return gateway.Serve(frontCtx, fs, zerolog.Nop(), ready) })
-	time.Sleep(100 * time.Millisecond) // the list comes
+	time.Sleep(100 * time.Millisecond) // until the front end has the worker list
 	return dir, stop
 }
 
-// Scenarios, each under a line of '== NAME':
+// TestHTTP runs the scripts of testdata/http.txt, each under a line '== NAME':
 //
 //	> METHOD PATH         a request
-//	> NAME: VALUE         a header of it
-//	> "GO STRING"         a part of its body; > TEXT likewise as it is
-//	< STATUS              its answer
-//	< NAME: VALUE         a header of it
-//	< TEXT                its JSON; "*" stands for anything
-//	< "GO STRING"         the bytes behind the JSON
+//	> NAME: VALUE         a header of the request
+//	> "GO STRING"         a part of its body, unquoted
+//	> TEXT                a part of its body, verbatim
+//	< STATUS              the response's status
+//	< NAME: VALUE         a header of the response; * stands for any value
+//	< TEXT                its JSON; "*" stands for any value
+//	< "GO STRING"         the binary data after the JSON
 func TestHTTP(t *testing.T) {
-	dir := start(t)
+	dir := startService(t)
 	transport := &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "unix", filepath.Join(dir, "kserve.sock"))
 	}}
@@ -142,65 +143,65 @@
 	for part := range strings.SplitSeq(all, "\n== ") {
 		name, steps, _ := strings.Cut(part, "\n")
 		t.Run(name, func(t *testing.T) {
-			if err := play(transport, strings.Split(steps, "\n")); err != nil {
+			if err := runScript(transport, strings.Split(steps, "\n")); err != nil {
 				t.Error(err)
 			}
 		})
 	}
 }
 
-func play(transport http.RoundTripper, lines []string) error {
+func runScript(transport http.RoundTripper, lines []string) error {
 	var r *http.Request
-	var body, rest []byte
-	var answer *http.Response
+	var body, binaryTail []byte
+	var response *http.Response
 	for _, line := range lines {
 		if len(line) < 3 {
 			continue
 		}
-		what, value := line[:2], line[2:]
-		literal, quoted := strconv.Unquote(value)
+		prefix, value := line[:2], line[2:]
+		literal, unquoteErr := strconv.Unquote(value)
 		header, headerValue, isHeader := strings.Cut(value, ": ")
 		isHeader = isHeader && !strings.ContainsAny(header, `{" `)
 		switch {
-		case what == "> " && (strings.HasPrefix(value, "GET ") || strings.HasPrefix(value, "POST ")):
+		case prefix == "> " && (strings.HasPrefix(value, "GET ") || strings.HasPrefix(value, "POST ")):
 			method, path, _ := strings.Cut(value, " ")
 			var err error
 			if r, err = http.NewRequest(method, "http://front"+path, nil); err != nil {
 				return err
 			}
-			body, answer = nil, nil
-		case what == "> " && isHeader:
+			body, response = nil, nil
+		case prefix == "> " && isHeader:
 			r.Header.Set(header, headerValue)
-		case what == "> " && quoted == nil:
+		case prefix == "> " && unquoteErr == nil:
 			body = append(body, literal...)
-		case what == "> ":
+		case prefix == "> ":
 			body = append(body, value...)
-		case what == "< " && answer == nil:
+		case prefix == "< " && response == nil:
 			r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(body)), int64(len(body))
 			var err error
-			if answer, err = transport.RoundTrip(r); err != nil {
+			if response, err = transport.RoundTrip(r); err != nil {
 				return err
 			}
-			rest, err = io.ReadAll(answer.Body)
-			answer.Body.Close()
+			binaryTail, err = io.ReadAll(response.Body)
+			response.Body.Close()
 			if err != nil {
 				return err
 			}
-			if strconv.Itoa(answer.StatusCode) != value {
-				return fmt.Errorf("%s %s: %d, %s", r.Method, r.URL.Path, answer.StatusCode, rest)
+			if strconv.Itoa(response.StatusCode) != value {
+				return fmt.Errorf("%s %s: %d, %s", r.Method, r.URL.Path, response.StatusCode, binaryTail)
 			}
-			if n, err := strconv.Atoi(answer.Header.Get("Inference-Header-Content-Length")); err == nil {
-				body, rest = rest[:n], rest[n:]
+			if n, err := strconv.Atoi(response.Header.Get("Inference-Header-Content-Length")); err == nil {
+				body, binaryTail = binaryTail[:n], binaryTail[n:]
 			} else {
-				body, rest = rest, nil
+				body, binaryTail = binaryTail, nil
 			}
 		case isHeader:
-			if got := answer.Header.Get(header); got != headerValue && headerValue != "*" {
+			if got := response.Header.Get(header); got != headerValue && headerValue != "*" {
 				return fmt.Errorf("header %s is %q", header, got)
 			}
-		case quoted == nil:
-			if literal != string(rest) {
-				return fmt.Errorf("behind the JSON: %q", rest)
+		case unquoteErr == nil:
+			if literal != string(binaryTail) {
+				return fmt.Errorf("binary data after the JSON: %q", binaryTail)
 			}
 		default:
 			if err := jsontest.Match(body, []byte(value)); err != nil {
@@ -211,9 +212,10 @@
 	return nil
 }
 
-// Over TLS a client is known by its certificate: what it may ask for, and whether it is let in at all.
+// Over TLS, a client's certificate decides which methods it may call. A client with a certificate that the settings
+// don't list is rejected; one without a certificate gets no connection.
 func TestTLS(t *testing.T) {
-	dir := start(t)
+	dir := startService(t)
 	text, err := os.ReadFile(filepath.Join(dir, "ca.pem"))
 	if err != nil {
 		t.Fatal(err)
@@ -240,7 +242,7 @@
 	}
 	for _, c := range []struct {
 		client, model string
-		status        int // 0: no answer
+		status        int // HTTP status; 0: no response
 		code          codes.Code
 	}{{"app", "sum", 200, codes.OK}, {"app", "unsafe", 403, codes.PermissionDenied},
 		{"stranger", "sum", 403, codes.PermissionDenied}, {"", "sum", 0, codes.Unavailable}} {
@@ -251,9 +253,9 @@
 			t.Fatal(err)
 		}
 		status := 0
-		if answer, err := transport.RoundTrip(r); err == nil {
-			status = answer.StatusCode
-			answer.Body.Close()
+		if response, err := transport.RoundTrip(r); err == nil {
+			status = response.StatusCode
+			response.Body.Close()
 		}
 		transport.CloseIdleConnections()
 		if status != c.status {
@@ -265,7 +267,7 @@
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		_, err = oip.NewGRPCInferenceServiceClient(g).ModelInfer(ctx, &oip.ModelInferRequest{ModelName: c.model,
-			Inputs: input("x", "FP32", &oip.InferTensorContents{Fp32Contents: []float32{1}}, 1)})
+			Inputs: inferInput("x", "FP32", &oip.InferTensorContents{Fp32Contents: []float32{1}}, 1)})
 		cancel()
 		g.Close()
 		if grpcstatus.Code(err) != c.code {
@@ -274,46 +276,46 @@
 	}
 }
 
-// Infers that ride one call-out each have their own answer, also when one of them leaves.
+// Infer requests batched into one call-out get an answer each, even if one of their clients leaves.
 func TestBatch(t *testing.T) {
-	dir := start(t)
+	dir := startService(t)
 	transport := &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 		return (&net.Dialer{}).DialContext(ctx, "unix", filepath.Join(dir, "kserve.sock"))
 	}}
 	defer transport.CloseIdleConnections()
-	ask := func(ctx context.Context, n int) error {
+	infer := func(ctx context.Context, n int) error {
 		body := fmt.Sprintf(`{"inputs":[{"name":"x","datatype":"INT32","shape":[1],"data":[%d]}]}`, n)
 		r, err := http.NewRequestWithContext(ctx, "POST", "http://front/v2/models/together/infer", strings.NewReader(body))
 		if err != nil {
 			return err
 		}
-		answer, err := transport.RoundTrip(r)
+		response, err := transport.RoundTrip(r)
 		if err != nil {
 			return err
 		}
-		defer answer.Body.Close()
-		text, err := io.ReadAll(answer.Body)
+		defer response.Body.Close()
+		text, err := io.ReadAll(response.Body)
 		if err == nil && !strings.Contains(string(text), fmt.Sprintf(`"data":[%d]`, n)) {
 			err = fmt.Errorf("RPC %d got %s", n, text)
 		}
 		return err
 	}
-	if err := ask(context.Background(), 0); err != nil { // it is loaded now
+	if err := infer(context.Background(), 0); err != nil { // the model is loaded from here on
 		t.Fatal(err)
 	}
-	worked := func() (n int) {
-		seen, err := record.Read(filepath.Join(dir, "w.log"))
+	countWorked := func() (n int) {
+		records, err := record.Read(filepath.Join(dir, "w.log"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, r := range seen {
+		for _, r := range records {
 			if r.Kind == record.Worked {
 				n++
 			}
 		}
 		return n
 	}
-	before := worked()
+	before := countWorked()
 	var all sync.WaitGroup
 	for n := 1; n <= 4; n++ {
 		all.Add(1)
@@ -321,23 +323,23 @@
 			defer all.Done()
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			if n == 2 { // while it runs
+			if n == 2 { // while the batch runs
 				time.AfterFunc(60*time.Millisecond, cancel)
 			}
-			if err := ask(ctx, n); (err != nil) != (n == 2) {
+			if err := infer(ctx, n); (err != nil) != (n == 2) {
 				t.Error(err)
 			}
 		}()
 	}
 	all.Wait()
-	if n := worked() - before; n < 1 || n > 3 {
-		t.Errorf("four RPCs were %d call-outs' work", n)
+	if n := countWorked() - before; n < 1 || n > 3 {
+		t.Errorf("four RPCs took the work of %d call-outs, want 1 to 3", n)
 	}
 }
 
-// A body over the bound is refused before it is read; a client that leaves has its RPC called off at the worker.
-func TestLargeAndLeaving(t *testing.T) {
-	dir := start(t)
+// A body over the bound is rejected before it is read. When a client disconnects, its RPC is cancelled at the worker.
+func TestLargeBodyAndClientDisconnect(t *testing.T) {
+	dir := startService(t)
 	dial := func() net.Conn {
 		nc, err := net.Dial("unix", filepath.Join(dir, "kserve.sock"))
 		if err != nil {
@@ -354,26 +356,26 @@
 		t.Errorf("%q, %v", head, err)
 	}
 	body := `{"inputs":[{"name":"x","datatype":"FP32","shape":[1],"data":[1]}]}`
-	leaver := dial()
-	fmt.Fprintf(leaver, "POST /v2/models/unsafe/infer HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	time.Sleep(150 * time.Millisecond) // it runs
-	leaver.Close()
-	until := time.Now().Add(2 * time.Second)
+	leaving := dial()
+	fmt.Fprintf(leaving, "POST /v2/models/unsafe/infer HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
+	time.Sleep(150 * time.Millisecond) // the RPC runs by then
+	leaving.Close()
+	deadline := time.Now().Add(2 * time.Second)
 	for {
-		seen, err := record.Read(filepath.Join(dir, "w.log"))
+		records, err := record.Read(filepath.Join(dir, "w.log"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, r := range seen {
+		for _, r := range records {
 			if r.Kind == record.Worked {
 				if r.Time > 250 {
-					t.Errorf("it ran on for %v ms", r.Time)
+					t.Errorf("the worker ran the cancelled RPC for %v ms", r.Time)
 				}
 				return
 			}
 		}
-		if time.Now().After(until) {
-			t.Fatalf("nothing ran, or goes on: %+v", seen)
+		if time.Now().After(deadline) {
+			t.Fatalf("the RPC never ran, or still runs: %+v", records)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
--- a/internal/kserve/infer.go
+++ b/internal/kserve/infer.go
@@ -1,5 +1,6 @@
-// Package kserve is a front end's side towards clients of the Open Inference Protocol (KServe v2): HTTP/REST with the
-// binary tensor data extension, and gRPC. It turns infers into RPCs at the desk; it decides nothing about an RPC's path.
+// Package kserve serves clients of the Open Inference Protocol (KServe v2) at a front end, over HTTP/REST with the
+// binary tensor data extension and over gRPC. It converts infer requests to RPCs and submits them to the dispatcher;
+// it takes no part in the choice of a worker.
 package kserve
 
 import (
@@ -15,29 +16,30 @@
 	"mallowlanding/internal/tensor"
 )
 
-// infer is what an infer asks for, decoded from either protocol.
-type infer struct {
+// inferRequest is an infer request, decoded from HTTP or gRPC.
+type inferRequest struct {
 	id         string
 	parameters jsontext.Value
 	inputs     []tensor.Tensor
-	outputs    []wanted
-	binary     bool // outputs that say nothing come as binary data
+	outputs    []requestedOutput
+	binary     bool // outputs are binary data unless they say otherwise
 }
 
-// wanted is an output that is asked for.
-type wanted struct {
+// requestedOutput is an output that the client asked for.
+type requestedOutput struct {
 	name   string
 	binary bool
 }
 
-// readInfer reads a body: head bytes of JSON (below 0: all of it), then the tensors' bytes.
-func readInfer(body []byte, head int) (in infer, err error) {
-	if head > len(body) {
-		return in, fmt.Errorf("Inference-Header-Content-Length is %d, the body has %d bytes", head, len(body))
+// parseInfer parses an HTTP body: jsonLen bytes of JSON, followed by the bytes of the tensors. If jsonLen is negative
+// the whole body is JSON.
+func parseInfer(body []byte, jsonLen int) (in inferRequest, err error) {
+	if jsonLen > len(body) {
+		return in, fmt.Errorf("Inference-Header-Content-Length is %d, the body has %d bytes", jsonLen, len(body))
 	}
 	rest := []byte{}
-	if head >= 0 {
-		body, rest = body[:head], body[head:]
+	if jsonLen >= 0 {
+		body, rest = body[:jsonLen], body[jsonLen:]
 	}
 	if !jsonrpc.Valid(body) {
 		return in, errors.New("the request is not JSON")
@@ -45,8 +47,8 @@
 	err = jsonrpc.ForEachMember(body, func(name []byte, v jsontext.Value) error {
 		switch string(name) {
 		case "id":
-			text, is := jsonrpc.ParseString(v)
-			if in.id = text; !is {
+			text, ok := jsonrpc.ParseString(v)
+			if in.id = text; !ok {
 				return errors.New(`"id" must be a string`)
 			}
 		case "parameters":
@@ -56,7 +58,7 @@
 			in.binary = bytes.Equal(jsonrpc.Member(v, "binary_data_output"), []byte("true"))
 		case "inputs":
 			return tensor.Each(v, "inputs", func(part jsontext.Value) error {
-				t, left, err := readInput(part, rest)
+				t, left, err := parseInput(part, rest)
 				rest = left
 				in.inputs = append(in.inputs, t)
 				return err
@@ -68,7 +70,7 @@
 					return errors.New("an output has no name")
 				}
 				flag := jsonrpc.Member(jsonrpc.Member(part, "parameters"), "binary_data")
-				in.outputs = append(in.outputs, wanted{name, string(flag) == "true" || flag == nil && in.binary})
+				in.outputs = append(in.outputs, requestedOutput{name, string(flag) == "true" || flag == nil && in.binary})
 				return nil
 			})
 		}
@@ -84,8 +86,9 @@
 	return in, err
 }
 
-// readInput reads one input; its bytes come off the front of rest where it says so.
-func readInput(v jsontext.Value, rest []byte) (t tensor.Tensor, left []byte, err error) {
+// parseInput parses one input. An input with binary_data_size takes its bytes from the front of rest; left is what
+// remains of rest.
+func parseInput(v jsontext.Value, rest []byte) (t tensor.Tensor, left []byte, err error) {
 	t.Name, _ = jsonrpc.ParseString(jsonrpc.Member(v, "name"))
 	t.Datatype, _ = jsonrpc.ParseString(jsonrpc.Member(v, "datatype"))
 	if t.Name == "" {
@@ -114,8 +117,8 @@
 	return t, rest, t.FromJSON(data)
 }
 
-// payload is the RPC's: what the worker gets.
-func (in *infer) payload(model, version string) (payload, blob []byte) {
+// workerPayload returns the payload of the RPC, and the blob with the inputs' bytes, for the worker.
+func (in *inferRequest) workerPayload(model, version string) (payload, blob []byte) {
 	b := jsonrpc.AppendString([]byte(`{"model":`), model)
 	b = jsonrpc.AppendString(append(b, `,"version":`...), version)
 	if in.parameters != nil {
@@ -125,8 +128,9 @@
 	return append(b, '}'), blob
 }
 
-// choose gives the outputs of a worker's value that are wanted, and which of them as binary data.
-func (in *infer) choose(model string, value, blob []byte) (chosen []tensor.Tensor, binary []bool, err error) {
+// selectOutputs returns the outputs of a worker's value that the client asked for (all by default), and which of them
+// it wants as binary data.
+func (in *inferRequest) selectOutputs(model string, value, blob []byte) (selected []tensor.Tensor, binary []bool, err error) {
 	outputs, err := tensor.ReadAll(jsonrpc.Member(value, "outputs"), blob)
 	if err != nil {
 		return nil, nil, fmt.Errorf("the model's answer can't be read: %w", err)
@@ -138,19 +142,20 @@
 		}
 		return outputs, binary, nil
 	}
-	for _, w := range in.outputs {
-		at := slices.IndexFunc(outputs, func(o tensor.Tensor) bool { return o.Name == w.name })
-		if at < 0 {
-			return nil, nil, fmt.Errorf("model %q has no output %q", model, w.name)
+	for _, requested := range in.outputs {
+		index := slices.IndexFunc(outputs, func(o tensor.Tensor) bool { return o.Name == requested.name })
+		if index < 0 {
+			return nil, nil, fmt.Errorf("model %q has no output %q", model, requested.name)
 		}
-		chosen, binary = append(chosen, outputs[at]), append(binary, w.binary)
+		selected, binary = append(selected, outputs[index]), append(binary, requested.binary)
 	}
-	return chosen, binary, nil
+	return selected, binary, nil
 }
 
-// answer is the response's JSON, and the tensors' bytes that follow it, as they came; nil: none do.
-func (in *infer) answer(model, version string, value, blob []byte) (body []byte, tail [][]byte, err error) {
-	chosen, how, err := in.choose(model, value, blob)
+// response returns the JSON of the HTTP response, and the outputs' bytes that follow it; tail is nil if no output is
+// binary.
+func (in *inferRequest) response(model, version string, value, blob []byte) (body []byte, tail [][]byte, err error) {
+	selected, binary, err := in.selectOutputs(model, value, blob)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -160,14 +165,14 @@
 		b = jsonrpc.AppendString(append(b, `,"id":`...), in.id)
 	}
 	b = append(b, `,"outputs":[`...)
-	for i, o := range chosen {
+	for i, o := range selected {
 		if i > 0 {
 			b = append(b, ',')
 		}
 		b = jsonrpc.AppendString(append(b, `{"name":`...), o.Name)
 		b = jsonrpc.AppendString(append(b, `,"datatype":`...), o.Datatype)
 		b = tensor.AppendShape(append(b, `,"shape":`...), o.Shape)
-		if how[i] {
+		if binary[i] {
 			b = strconv.AppendInt(append(b, `,"parameters":{"binary_data_size":`...), int64(len(o.Raw)), 10)
 			b = append(b, "}}"...)
 			tail = append(tail, o.Raw)
