--- a/internal/kserve/grpc.go
+++ b/internal/kserve/grpc.go
@@ -224,7 +224,7 @@
 				return in, fmt.Errorf("input %q: %w", t.Name, err)
 			}
 		}
-		if err := t.Check(); err != nil {
+		if err := t.Validate(); err != nil {
 			return in, err
 		}
 		in.inputs = append(in.inputs, t)
--- a/internal/kserve/infer.go
+++ b/internal/kserve/infer.go
@@ -57,14 +57,14 @@
 			}
 			in.binary = bytes.Equal(jsonrpc.Member(v, "binary_data_output"), []byte("true"))
 		case "inputs":
-			return tensor.Each(v, "inputs", func(part jsontext.Value) error {
+			return tensor.ForEachObject(v, "inputs", func(part jsontext.Value) error {
 				t, left, err := parseInput(part, rest)
 				rest = left
 				in.inputs = append(in.inputs, t)
 				return err
 			})
 		case "outputs":
-			return tensor.Each(v, "outputs", func(part jsontext.Value) error {
+			return tensor.ForEachObject(v, "outputs", func(part jsontext.Value) error {
 				name, _ := jsonrpc.ParseString(jsonrpc.Member(part, "name"))
 				if name == "" {
 					return errors.New("an output has no name")
@@ -94,7 +94,7 @@
 	if t.Name == "" {
 		return t, rest, errors.New("an input has no name")
 	}
-	if t.Shape, err = tensor.ReadShape(jsonrpc.Member(v, "shape")); err != nil {
+	if t.Shape, err = tensor.ParseShape(jsonrpc.Member(v, "shape")); err != nil {
 		return t, rest, fmt.Errorf("input %q: %w", t.Name, err)
 	}
 	data := jsonrpc.Member(v, "data")
@@ -109,12 +109,12 @@
 			return t, rest, fmt.Errorf("input %q: binary_data_size %d, but %d bytes are left of the body", t.Name, n, len(rest))
 		}
 		t.Raw = rest[:n:n]
-		return t, rest[n:], t.Check()
+		return t, rest[n:], t.Validate()
 	}
 	if data == nil {
 		return t, rest, fmt.Errorf("input %q has no data", t.Name)
 	}
-	return t, rest, t.FromJSON(data)
+	return t, rest, t.ParseJSON(data)
 }
 
 // workerPayload returns the payload of the RPC, and the blob with the inputs' bytes, for the worker.
@@ -124,14 +124,14 @@
 	if in.parameters != nil {
 		b = append(append(b, `,"parameters":`...), in.parameters...)
 	}
-	b, blob = tensor.AppendBeside(append(b, `,"inputs":`...), in.inputs)
+	b, blob = tensor.AppendWithBlob(append(b, `,"inputs":`...), in.inputs)
 	return append(b, '}'), blob
 }
 
 // selectOutputs returns the outputs of a worker's value that the client asked for (all by default), and which of them
 // it wants as binary data.
 func (in *inferRequest) selectOutputs(model string, value, blob []byte) (selected []tensor.Tensor, binary []bool, err error) {
-	outputs, err := tensor.ReadAll(jsonrpc.Member(value, "outputs"), blob)
+	outputs, err := tensor.Parse(jsonrpc.Member(value, "outputs"), blob)
 	if err != nil {
 		return nil, nil, fmt.Errorf("the model's answer can't be read: %w", err)
 	}
--- a/internal/standin/models.go
+++ b/internal/standin/models.go
@@ -18,7 +18,7 @@
 		return nil, nil, false, nil
 	}
 	model := member(payload, "model")
-	inputs, err := tensor.ReadAll(raw, blob)
+	inputs, err := tensor.Parse(raw, blob)
 	if err != nil {
 		return nil, nil, true, err
 	}
@@ -34,10 +34,10 @@
 		}
 	}
 	if len(blob) > 0 { // they come back as they came
-		value, out = tensor.AppendBeside([]byte(`{"outputs":`), outputs)
+		value, out = tensor.AppendWithBlob([]byte(`{"outputs":`), outputs)
 		return append(value, '}'), out, true, nil
 	}
-	return append(tensor.AppendAll([]byte(`{"outputs":`), outputs), '}'), nil, true, nil
+	return append(tensor.AppendInline([]byte(`{"outputs":`), outputs), '}'), nil, true, nil
 }
 
 // sum adds up FP32 or INT32 elements; INT32 wraps.
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -408,7 +408,7 @@
 	var jobs []*Job
 	var keys []string
 	var spans []router.Time
-	err := tensor.Each(jsonrpc.Member(params, "requests"), "requests", func(part jsontext.Value) error {
+	err := tensor.ForEachObject(jsonrpc.Member(params, "requests"), "requests", func(part jsontext.Value) error {
 		number := func(name string) float64 { n, _ := jsonrpc.ParseNumber(jsonrpc.Member(part, name)); return n }
 		size := int(number("blob_bytes"))
 		if size < 0 || size > len(blob) {
--- a/internal/tensor/form.go
+++ b/internal/tensor/form.go
@@ -13,11 +13,12 @@
 	"mallowlanding/internal/jsonrpc"
 )
 
-// The forms in which tensors travel to workers and back: an array of {name, datatype, shape, raw}, raw being the bytes
-// in base64; or of {name, datatype, shape, size}, with the bytes of all, one behind the other, beside it.
+// Tensors are sent to workers and back in one of two encodings. Inline, they are an array of {name, datatype, shape,
+// raw}, where raw is the bytes in base64. With a blob, they are an array of {name, datatype, shape, size}, and the blob
+// has the bytes of all of them, concatenated.
 
-// Each calls f for the elements of an array of objects; name is what an error calls the array.
-func Each(v jsontext.Value, name string, f func(part jsontext.Value) error) error {
+// ForEachObject calls f for each element of an array of objects. Errors refer to the array by name.
+func ForEachObject(v jsontext.Value, name string, f func(part jsontext.Value) error) error {
 	if v.Kind() != '[' {
 		return fmt.Errorf("%q must be an array", name)
 	}
@@ -40,8 +41,8 @@
 	return nil
 }
 
-// ReadShape reads a shape.
-func ReadShape(v jsontext.Value) ([]int64, error) {
+// ParseShape parses a JSON array of dimensions.
+func ParseShape(v jsontext.Value) ([]int64, error) {
 	var out []int64
 	if err := json.Unmarshal(v, &out); err != nil {
 		return nil, errors.New("its shape must be an array of whole numbers")
@@ -49,7 +50,7 @@
 	return out, nil
 }
 
-// AppendShape appends a shape.
+// AppendShape appends shape to b as a JSON array.
 func AppendShape(b []byte, shape []int64) []byte {
 	b = append(b, '[')
 	for i, d := range shape {
@@ -61,8 +62,8 @@
 	return append(b, ']')
 }
 
-// AppendAll appends tensors in the workers' form.
-func AppendAll(b []byte, ts []Tensor) []byte {
+// AppendInline appends tensors to b in the inline encoding.
+func AppendInline(b []byte, ts []Tensor) []byte {
 	b = append(b, '[')
 	for i, t := range ts {
 		if i > 0 {
@@ -77,9 +78,9 @@
 	return append(b, ']')
 }
 
-// AppendBeside appends tensors in the workers' form without their bytes, and gives those.
-func AppendBeside(b []byte, ts []Tensor) (out, blob []byte) {
-	if len(ts) == 1 { // as they are
+// AppendWithBlob appends tensors to b in the encoding with a blob, and returns that blob.
+func AppendWithBlob(b []byte, ts []Tensor) (out, blob []byte) {
+	if len(ts) == 1 { // no copy is needed
 		blob = ts[0].Raw
 	}
 	b = append(b, '[')
@@ -98,13 +99,14 @@
 	return append(b, ']'), blob
 }
 
-// ReadAll reads tensors in either of the workers' forms, and checks them. Theirs are parts of blob where it has them.
-func ReadAll(v, blob []byte) (out []Tensor, err error) {
-	err = Each(v, "tensors", func(part jsontext.Value) (err error) {
+// Parse parses tensors in either encoding and validates them. The Raw of those that have a size is a part of blob, not
+// a copy.
+func Parse(v, blob []byte) (out []Tensor, err error) {
+	err = ForEachObject(v, "tensors", func(part jsontext.Value) (err error) {
 		var t Tensor
 		t.Name, _ = jsonrpc.ParseString(jsonrpc.Member(part, "name"))
 		t.Datatype, _ = jsonrpc.ParseString(jsonrpc.Member(part, "datatype"))
-		if t.Shape, err = ReadShape(jsonrpc.Member(part, "shape")); err != nil {
+		if t.Shape, err = ParseShape(jsonrpc.Member(part, "shape")); err != nil {
 			return err
 		}
 		if size := jsonrpc.Member(part, "size"); size != nil {
@@ -114,14 +116,14 @@
 			}
 			t.Raw, blob = blob[:n:n], blob[n:]
 			out = append(out, t)
-			return t.Check()
+			return t.Validate()
 		}
 		text, _ := jsonrpc.ParseString(jsonrpc.Member(part, "raw"))
 		if t.Raw, err = base64.StdEncoding.DecodeString(text); err != nil {
 			return err
 		}
 		out = append(out, t)
-		return t.Check()
+		return t.Validate()
 	})
 	return out, err
 }
--- a/internal/tensor/tensor.go
+++ b/internal/tensor/tensor.go
@@ -1,5 +1,5 @@
-// Package tensor has the tensors of the Open Inference Protocol (KServe v2): datatypes, shapes, and their two forms,
-// JSON numbers and little-endian bytes. No I/O.
+// Package tensor implements the tensors of the Open Inference Protocol (KServe v2): their datatypes and shapes, and the
+// conversion between JSON values and little-endian bytes. It does no I/O.
 package tensor
 
 import (
@@ -13,11 +13,11 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// sizes are the bytes of one element; 0: of varied length.
-var sizes = map[string]int{"BOOL": 1, "UINT8": 1, "UINT16": 2, "UINT32": 4, "UINT64": 8, "INT8": 1, "INT16": 2,
+// elementSizes holds the bytes of one element of each datatype; 0 stands for a variable length.
+var elementSizes = map[string]int{"BOOL": 1, "UINT8": 1, "UINT16": 2, "UINT32": 4, "UINT64": 8, "INT8": 1, "INT16": 2,
 	"INT32": 4, "INT64": 8, "FP16": 2, "FP32": 4, "FP64": 8, "BYTES": 0}
 
-// Tensor is a name, a datatype, a shape, and its elements as little-endian bytes; BYTES elements each follow their
+// Tensor is a named tensor. Raw holds its elements as little-endian bytes; each element of datatype BYTES follows its
 // length in four bytes.
 type Tensor struct {
 	Name     string
@@ -26,8 +26,9 @@
 	Raw      []byte
 }
 
-// Elements is the number of elements of a shape; one with a negative or far too large one is an error.
-func Elements(shape []int64) (int64, error) {
+// ElementCount returns the number of elements of a shape. A negative dimension, or more than 2^31-1 elements, is an
+// error.
+func ElementCount(shape []int64) (int64, error) {
 	n := int64(1)
 	for _, d := range shape {
 		if d < 0 {
@@ -41,13 +42,13 @@
 	return n, nil
 }
 
-// Check tells whether the bytes fit datatype and shape.
-func (t *Tensor) Check() error {
-	size, known := sizes[t.Datatype]
+// Validate checks that the bytes match the datatype and the shape.
+func (t *Tensor) Validate() error {
+	size, known := elementSizes[t.Datatype]
 	if !known {
 		return fmt.Errorf("tensor %q: unknown datatype %.20q", t.Name, t.Datatype)
 	}
-	n, err := Elements(t.Shape)
+	n, err := ElementCount(t.Shape)
 	if err != nil {
 		return fmt.Errorf("tensor %q: %w", t.Name, err)
 	}
@@ -58,36 +59,36 @@
 		}
 		return nil
 	}
-	rest, found := t.Raw, int64(0)
-	for ; len(rest) > 0; found++ {
+	rest, count := t.Raw, int64(0)
+	for ; len(rest) > 0; count++ {
 		if len(rest) < 4 || int64(binary.LittleEndian.Uint32(rest)) > int64(len(rest)-4) {
-			return fmt.Errorf("tensor %q: element %d is cut short", t.Name, found)
+			return fmt.Errorf("tensor %q: element %d is cut short", t.Name, count)
 		}
 		rest = rest[4+binary.LittleEndian.Uint32(rest):]
 	}
-	if found != n {
-		return fmt.Errorf("tensor %q: BYTES of shape %v has %d elements, not %d", t.Name, t.Shape, found, n)
+	if count != n {
+		return fmt.Errorf("tensor %q: BYTES of shape %v has %d elements, not %d", t.Name, t.Shape, count, n)
 	}
 	return nil
 }
 
-// FromJSON reads elements in row-major order, from one flat array or nested ones, into Raw, and checks them.
-func (t *Tensor) FromJSON(data jsontext.Value) error {
+// ParseJSON parses elements in row-major order, from a flat array or nested ones, into Raw, and validates the result.
+func (t *Tensor) ParseJSON(data jsontext.Value) error {
 	if t.Datatype == "FP16" {
 		return fmt.Errorf("tensor %q: FP16 has no JSON form: send it as binary data", t.Name)
 	}
-	if _, known := sizes[t.Datatype]; !known {
-		return t.Check()
+	if _, known := elementSizes[t.Datatype]; !known {
+		return t.Validate()
 	}
 	raw, err := t.appendJSON(nil, data, 0)
 	if err != nil {
 		return fmt.Errorf("tensor %q: %w", t.Name, err)
 	}
 	t.Raw = raw
-	return t.Check()
+	return t.Validate()
 }
 
-// maxNesting bounds nested arrays: more than any shape's dimensions.
+// maxNesting bounds the depth of nested arrays; it is more than the dimensions that any shape has.
 const maxNesting = 64
 
 func (t *Tensor) appendJSON(raw []byte, v jsontext.Value, depth int) ([]byte, error) {
@@ -114,7 +115,7 @@
 }
 
 func (t *Tensor) appendElement(raw []byte, v jsontext.Value) ([]byte, error) {
-	bad := fmt.Errorf("%.40s is no %s", v, t.Datatype)
+	mismatch := fmt.Errorf("%.40s is no %s", v, t.Datatype)
 	switch t.Datatype {
 	case "BOOL":
 		switch v.Kind() {
@@ -123,10 +124,10 @@
 		case 'f':
 			return append(raw, 0), nil
 		}
-		return nil, bad
+		return nil, mismatch
 	case "BYTES":
 		if v.Kind() != '"' {
-			return nil, bad
+			return nil, mismatch
 		}
 		text, err := jsontext.AppendUnquote(nil, v)
 		if err != nil {
@@ -134,28 +135,28 @@
 		}
 		return append(binary.LittleEndian.AppendUint32(raw, uint32(len(text))), text...), nil
 	case "FP32", "FP64":
-		bits := 8 * sizes[t.Datatype]
+		bits := 8 * elementSizes[t.Datatype]
 		n, err := strconv.ParseFloat(string(v), bits)
 		if v.Kind() != '0' || err != nil {
-			return nil, bad
+			return nil, mismatch
 		}
 		if bits == 32 {
 			return binary.LittleEndian.AppendUint32(raw, math.Float32bits(float32(n))), nil
 		}
 		return binary.LittleEndian.AppendUint64(raw, math.Float64bits(n)), nil
 	}
-	size := sizes[t.Datatype]
+	size := elementSizes[t.Datatype]
 	var bits uint64
 	if t.Datatype[0] == 'U' {
 		n, err := strconv.ParseUint(string(v), 10, 8*size)
 		if v.Kind() != '0' || err != nil {
-			return nil, bad
+			return nil, mismatch
 		}
 		bits = n
 	} else {
 		n, err := strconv.ParseInt(string(v), 10, 8*size)
 		if v.Kind() != '0' || err != nil {
-			return nil, bad
+			return nil, mismatch
 		}
 		bits = uint64(n)
 	}
@@ -166,13 +167,13 @@
 	return raw, nil
 }
 
-// AppendJSON appends the elements as one flat array. FP16, and numbers that JSON does not have (NaN, infinities), are
-// errors; BYTES that are not UTF-8, too.
+// AppendJSON appends the elements to out as a flat array. It returns an error for what JSON can't represent: FP16, NaN
+// and infinities, and BYTES that are not UTF-8.
 func (t *Tensor) AppendJSON(out []byte) ([]byte, error) {
 	if t.Datatype == "FP16" {
 		return nil, fmt.Errorf("tensor %q: FP16 has no JSON form: ask for binary data", t.Name)
 	}
-	size := sizes[t.Datatype]
+	size := elementSizes[t.Datatype]
 	out = append(out, '[')
 	for rest, first := t.Raw, true; len(rest) > 0; first = false {
 		if !first {
--- a/internal/tensor/tensor_test.go
+++ b/internal/tensor/tensor_test.go
@@ -11,7 +11,7 @@
 		datatype string
 		shape    []int64
 		data     string
-		raw, err string // bytes in hex, or a part of the error
+		raw, err string // the bytes in hex, or a part of the error
 	}{
 		{"BOOL", []int64{2}, "[true,false]", "0100", ""},
 		{"UINT8", []int64{1}, "[255]", "ff", ""},
@@ -40,24 +40,24 @@
 		{"FP32", []int64{1}, strings.Repeat("[", 100) + "1" + strings.Repeat("]", 100), "", "nests too deep"},
 	} {
 		x := Tensor{Name: "x", Datatype: c.datatype, Shape: c.shape}
-		err := x.FromJSON([]byte(c.data))
+		err := x.ParseJSON([]byte(c.data))
 		if (err == nil) != (c.err == "") || err != nil && !strings.Contains(err.Error(), c.err) {
-			t.Errorf("%s %v %.40s: %v, want %q", c.datatype, c.shape, c.data, err, c.err)
+			t.Errorf("%s %v, ParseJSON(%.40s): error %v, want %q", c.datatype, c.shape, c.data, err, c.err)
 		}
 		if err != nil {
 			continue
 		}
 		if got := hex.EncodeToString(x.Raw); got != c.raw {
-			t.Errorf("%s %s: %s, want %s", c.datatype, c.data, got, c.raw)
+			t.Errorf("%s, ParseJSON(%s): %s, want %s", c.datatype, c.data, got, c.raw)
 		}
 		out, err := x.AppendJSON(nil)
 		if flat := "[" + strings.Trim(strings.ReplaceAll(c.data, "],[", ","), "[]") + "]"; err != nil || string(out) != flat {
-			t.Errorf("%s %s: back as %s, %v", c.datatype, c.data, out, err)
+			t.Errorf("%s, %s: AppendJSON gives %s, %v", c.datatype, c.data, out, err)
 		}
 	}
 }
 
-func TestCheck(t *testing.T) {
+func TestValidate(t *testing.T) {
 	for _, c := range []struct {
 		datatype, raw, err string
 	}{
@@ -65,12 +65,12 @@
 		{"BYTES", "ffffffff61", "element 0 is cut short"},
 		{"BYTES", "0000000000000000", "has 2 elements, not 1"},
 		{"FP16", "003c", ""},
-		{"FP32", "0000c07f", ""}, // NaN is a value like any other, as bytes
+		{"FP32", "0000c07f", ""}, // NaN, which is valid as bytes
 	} {
 		raw, _ := hex.DecodeString(c.raw)
 		x := Tensor{Name: "x", Datatype: c.datatype, Shape: []int64{1}, Raw: raw}
-		if err := x.Check(); (err == nil) != (c.err == "") || err != nil && !strings.Contains(err.Error(), c.err) {
-			t.Errorf("%+v: %v", c, err)
+		if err := x.Validate(); (err == nil) != (c.err == "") || err != nil && !strings.Contains(err.Error(), c.err) {
+			t.Errorf("%+v: Validate: %v", c, err)
 		}
 	}
 	nan := Tensor{Name: "x", Datatype: "FP32", Shape: []int64{1}, Raw: []byte{0, 0, 0xc0, 0x7f}}
@@ -84,15 +84,15 @@
 	f.Add("BYTES", []byte(`["a"]`), int64(1))
 	f.Fuzz(func(t *testing.T, datatype string, data []byte, n int64) {
 		x := Tensor{Name: "x", Datatype: datatype, Shape: []int64{n}}
-		if x.FromJSON(data) == nil {
+		if x.ParseJSON(data) == nil {
 			out, err := x.AppendJSON(nil)
 			y := x
-			if err != nil || y.FromJSON(out) != nil || string(x.Raw) != string(y.Raw) {
-				t.Errorf("%s: %s became %s, %v", datatype, data, out, err)
+			if err != nil || y.ParseJSON(out) != nil || string(x.Raw) != string(y.Raw) {
+				t.Errorf("%s: %s was converted to bytes and back to %s, %v", datatype, data, out, err)
 			}
 		}
 		x.Raw = data
-		if x.Check() == nil {
+		if x.Validate() == nil {
 			_, _ = x.AppendJSON(nil)
 		}
 	})
