--- a/internal/emulate/front.go
+++ b/internal/emulate/front.go
@@ -342,8 +342,8 @@
 func (l *link) Send(id engine.CallOutID, p *engine.RPC, left, _ router.Time) {
 	w, fl, name := l.f.w, &flight{}, l.f.name()
 	l.out[id] = fl
-	j := &standin.Job{Method: p.Method.Name, Function: p.Function, Token: p.Token, Mark: string(p.Payload), Until: w.now + left,
-		Memory: p.Spec.MemoryMB, Lanes: p.Spec.Lanes, Load: p.Spec.LoadTime}
+	j := &standin.Job{Method: p.Method.Name, Function: p.Function, Token: p.Token, Mark: string(p.Payload), Deadline: w.now + left,
+		Memory: p.Spec.MemoryMB, Lanes: p.Spec.Lanes, LoadTime: p.Spec.LoadTime}
 	l.there(func(x *worker) {
 		fl.job = j
 		r := record.Record{Kind: record.Request, Who: x.set.Name, FrontEnd: name, RPC: j.Mark, Method: j.Method, Function: j.Function,
@@ -354,7 +354,7 @@
 			}
 		}
 		w.keep(r)
-		j.Done = func(a standin.Answer) {
+		j.Done = func(a standin.Response) {
 			w.keep(record.Record{Kind: record.Ended, Who: x.set.Name, FrontEnd: name, RPC: j.Mark, N: a.Code})
 			report := append([]float64(nil), x.model.Report()...)
 			l.back(x, func() {
@@ -362,10 +362,10 @@
 					return
 				}
 				delete(l.out, id)
-				l.f.e.CallOutEnded(id, l.id, workerlink.OutcomeOf(a.Code), workerlink.ParseWarmth(a.Warmth), a.Crowd, report, []byte(a.Message), nil)
+				l.f.e.CallOutEnded(id, l.id, workerlink.OutcomeOf(a.Code), workerlink.ParseWarmth(a.Warmth), a.RPCsAtCopies, report, []byte(a.Message), nil)
 			})
 		}
-		x.model.Request(j)
+		x.model.Submit(j)
 	})
 }
 
@@ -377,14 +377,14 @@
 	}
 	l.there(func(x *worker) {
 		if fl.job != nil {
-			x.model.CallOff(fl.job)
+			x.model.Cancel(fl.job)
 		}
 	})
 }
 
 // CancelLoadOrder implements engine.Link.
 func (l *link) CancelLoadOrder(id engine.OrderID) {
-	l.there(func(x *worker) { x.model.Unhold(orderAt{l, id}) })
+	l.there(func(x *worker) { x.model.CancelLoad(orderAt{l, id}) })
 }
 
 // orderAt names an order at a worker.
@@ -401,7 +401,7 @@
 		if copies > 0 {
 			w.keep(record.Record{Kind: record.Hold, Who: x.set.Name, FrontEnd: name, Function: function, N: copies})
 		}
-		x.model.Hold(orderAt{l, id}, function, copies, fn.MemoryMB, fn.Lanes, fn.LoadTime, func(code, stand int) {
+		x.model.OrderLoad(orderAt{l, id}, function, copies, fn.MemoryMB, fn.Lanes, fn.LoadTime, func(code, stand int) {
 			l.back(x, func() {
 				l.orders = without(l.orders, id)
 				l.f.e.LoadOrderEnded(id, workerlink.OutcomeOf(code), stand)
@@ -414,7 +414,7 @@
 func (l *link) Check(id engine.CheckID) {
 	l.checks = append(l.checks, id)
 	l.there(func(x *worker) {
-		if x.model.Hangs() {
+		if x.model.Hanging() {
 			return
 		}
 		report := append([]float64(nil), x.model.Report()...)
--- a/internal/emulate/trouble.go
+++ b/internal/emulate/trouble.go
@@ -87,16 +87,16 @@
 		each(w.part(t.Part, rng), func(m *standin.Model) { m.Slow(t.Size, t.For) })
 	case "slow-function":
 		name := fmt.Sprintf("%s-0", w.s.Load.Mix[0].Method) // the one asked for most
-		each(w.part(t.Part, rng), func(m *standin.Model) { m.SlowOne(name, t.Size, t.For) })
+		each(w.part(t.Part, rng), func(m *standin.Model) { m.SlowFunction(name, t.Size, t.For) })
 	case "fast-errors":
-		each(w.part(t.Part, rng), func(m *standin.Model) { m.Errors(t.Size, t.For) })
+		each(w.part(t.Part, rng), func(m *standin.Model) { m.FailRPCs(t.Size, t.For) })
 	case "load-fails":
-		each(w.part(t.Part, rng), func(m *standin.Model) { m.LoadsFail(t.Size, t.For) })
+		each(w.part(t.Part, rng), func(m *standin.Model) { m.FailLoads(t.Size, t.For) })
 	case "report-late":
-		each(w.part(1, rng), func(m *standin.Model) { m.ReportsLate(router.Time(t.Size*10000), t.For) })
+		each(w.part(1, rng), func(m *standin.Model) { m.DelayReports(router.Time(t.Size*10000), t.For) })
 	case "flush":
 		each(w.part(1, rng), func(m *standin.Model) {
-			m.Release(func(function string) bool { return standin.Hit(function, t.Size, w.s.Seed) })
+			m.Release(func(function string) bool { return standin.InReleaseShare(function, t.Size, w.s.Seed) })
 		})
 	case "half-frame", "close":
 		for _, x := range w.part(t.Part, rng) {
--- a/internal/emulate/worker.go
+++ b/internal/emulate/worker.go
@@ -51,9 +51,9 @@
 func (x *worker) lookAgain() {
 	x.w.after(min(x.set.Machine.ReportEvery, look), func() {
 		if x.alive {
-			x.do(x.model.Look)
+			x.do(x.model.Housekeep)
 			x.w.looks++
-			if why := x.model.Overfull(); why != "" && x.w.overfull == "" {
+			if why := x.model.OverCapacity(); why != "" && x.w.overfull == "" {
 				x.w.overfull = x.set.Name + ": " + why
 			}
 			x.lookAgain()
@@ -66,7 +66,7 @@
 	if !x.alive {
 		return
 	}
-	x.model.Begin(x.w.now)
+	x.model.SetTime(x.w.now)
 	event()
 	x.timers.Fire(x.w.now)
 	if due, any := x.timers.NextDue(); any && x.alive {
@@ -117,26 +117,26 @@
 	})
 }
 
-// Claim implements standin.World.
-func (x *worker) Claim(group, token string, window router.Time, done func(first, ok bool)) {
+// ClaimToken implements standin.World.
+func (x *worker) ClaimToken(group, token string, window router.Time, done func(first, ok bool)) {
 	w := x.w
 	if w.shelf == nil {
 		w.after(0, func() { x.do(func() { done(true, true) }) })
 		return
 	}
 	w.after(w.delay(), func() {
-		first := w.shelf.Claim(w.now, group+"\x00"+token, window)
+		first := w.shelf.ClaimToken(w.now, group+"\x00"+token, window)
 		w.after(w.delay(), func() { x.do(func() { done(first, true) }) })
 	})
 }
 
-// Worked implements standin.World.
-func (x *worker) Worked(j *standin.Job, span router.Time) {
+// RecordWork implements standin.World.
+func (x *worker) RecordWork(j *standin.Job, span router.Time) {
 	x.w.keep(record.Record{Kind: record.Worked, Who: x.set.Name, RPC: j.Mark, Time: float64(span) / 10})
 }
 
-// Effect implements standin.World.
-func (x *worker) Effect(j *standin.Job, dropped bool) {
+// RecordEffect implements standin.World.
+func (x *worker) RecordEffect(j *standin.Job, dropped bool) {
 	kind := record.Effect
 	if dropped {
 		kind = record.Dropped
@@ -144,8 +144,8 @@
 	x.w.keep(record.Record{Kind: kind, Who: x.set.Name, RPC: j.Mark, Method: j.Method, Function: j.Function, Token: j.Token})
 }
 
-// Fell implements standin.World.
-func (x *worker) Fell(pushed, could float64) {
+// ColdOverload implements standin.World.
+func (x *worker) ColdOverload(pushed, could float64) {
 	x.w.keep(record.Record{Kind: record.Fell, Who: x.set.Name, Cost: pushed, Time: could})
 	x.w.after(0, x.die)
 }
--- a/internal/emulate/world.go
+++ b/internal/emulate/world.go
@@ -41,7 +41,7 @@
 	events  eventloop.Timers // of everybody, in the order in which they were set where their time is the same
 	delays  distuv.LogNormal
 	net     *rand.Rand // the network's chance
-	shelf   *standin.Shelf
+	shelf   *standin.StoreModel
 	fronts  []*frontEnd
 	workers map[string]*worker
 	byID    map[router.WorkerID]*worker
@@ -114,7 +114,7 @@
 	// a log-normal delay of the stated mean: its median is the mean over e^(sigma^2/2)
 	w.delays = distuv.LogNormal{Mu: math.Log(float64(n.DelayUs)) - n.Spread*n.Spread/2, Sigma: n.Spread, Src: source{w.net}}
 	if s.Fleet.Store != nil {
-		w.shelf = standin.NewShelf(s.Fleet.Store, &w.events)
+		w.shelf = standin.NewStoreModel(s.Fleet.Store, &w.events)
 	}
 	for _, set := range s.Workers() {
 		w.begin(set)
@@ -234,11 +234,11 @@
 // way, RPCs at work there.
 func (w *world) truth(id router.WorkerID, fn router.FunctionID) (free int, loading bool, jobs int, ok bool) {
 	x := w.byID[id]
-	if x == nil || !x.alive || x.model.Hangs() {
+	if x == nil || !x.alive || x.model.Hanging() {
 		return 0, false, 0, false
 	}
-	free, loading = x.model.Stands(func(name string) bool { return nameid.Function(name) == fn })
-	return free, loading, x.model.Jobs(), true
+	free, loading = x.model.FreeLanes(func(name string) bool { return nameid.Function(name) == fn })
+	return free, loading, x.model.JobCount(), true
 }
 
 // since is a moment of the day.
--- a/internal/standin/model.go
+++ b/internal/standin/model.go
@@ -1,6 +1,6 @@
-// Package standin has the outside systems that the program meets, as far as it meets them: workers, the roster that
-// tells who runs, and the store that all workers load from. They are models of what such systems do, not measures
-// of real ones: a worker waits where a real one would compute.
+// Package standin implements stand-ins for the outside systems that the program talks to: workers, the roster that
+// reports which workers run, and the store that all workers load functions from. They model the behaviour of such
+// systems, not the speed of real ones: a worker waits where a real one would compute.
 package standin
 
 import (
@@ -17,506 +17,509 @@
 	"mallowlanding/router"
 )
 
-// Answer is what a worker says of an RPC: code 0 with a value, or an error code and message.
-type Answer struct {
-	Code    int
-	Message string
-	Repeat  bool // a repeat whose effect was dropped
-	Warmth  string
-	Crowd   int
+// Response is a worker's response to an RPC: code 0 with a value, or an error code and a message.
+type Response struct {
+	Code         int
+	Message      string
+	Repeat       bool // the RPC was a repeat, and its effect was dropped
+	Warmth       string
+	RPCsAtCopies int // RPCs that ran or waited at the function's copies when this one came
 }
 
 // Job is one RPC at a worker.
 type Job struct {
 	Method, Function, Token, Mark string
 	Payload, Blob                 []byte
-	Until                         router.Time // its client's time is up
-	Memory                        float64
-	Lanes                         int
-	Load                          router.Time
-	Done                          func(Answer)
-
-	batch  []*Job // that ride with it
-	lead   *Job   // of the batch that it rides with
-	fn     *copies
-	work   *settings.WorkMethod
-	answer Answer
-	begun  bool
-	ran    bool // its effect has happened, or is about to
-	over   bool
-	timer  eventloop.Timer
-	coreAt router.Time // when it got its core
-}
-
-// World is what a worker model reaches outside itself; answers come in later turns.
-type World interface {
-	Fetch(function string, usual router.Time, done func(ok bool))
-	Claim(group, token string, window router.Time, done func(first, ok bool))
-	Worked(j *Job, span router.Time)
-	Effect(j *Job, dropped bool)
-	Fell(pushed, could float64)
-}
-
-// copies are one function's on the worker.
-type copies struct {
-	name    string
-	memory  float64
-	lanes   int
-	load    router.Time
-	stand   int
-	stale   int // of those, to go once idle: released anew
-	loading int
-	active  int
-	lastUse router.Time
-	waiting []*Job
-	holds   []*hold
-}
-
-type hold struct {
+	Deadline                      router.Time // when the client's time is up
+	Memory                        float64     // MB of a copy of the function
+	Lanes                         int         // of a copy
+	LoadTime                      router.Time
+	Done                          func(Response)
+
+	batch      []*Job // the other RPCs of the batch that it leads
+	lead       *Job   // the first RPC of its batch; nil if it leads one or is in none
+	function   *functionState
+	work       *settings.WorkMethod
+	response   Response
+	started    bool
+	effectDone bool // its effect has happened, or is about to happen
+	finished   bool
+	timer      eventloop.Timer
+	coreSince  router.Time // when it was given a core
+}
+
+// Environment connects a worker model to the outside: the store, the record log and the process. The callbacks done are
+// called in a later turn of the event loop.
+type Environment interface {
+	Fetch(function string, usualTime router.Time, done func(ok bool))
+	ClaimToken(group, token string, window router.Time, done func(first, ok bool))
+	RecordWork(j *Job, duration router.Time)
+	RecordEffect(j *Job, dropped bool)
+	ColdOverload(sentMS, maxMS float64)
+}
+
+// functionState is the state of one function at the worker: its copies and the RPCs and load orders that wait for them.
+type functionState struct {
+	name     string
+	memory   float64
+	lanes    int
+	loadTime router.Time
+	loaded   int
+	stale    int // of loaded: copies of an older release, unloaded once idle
+	loading  int // copies being loaded, or queued for it
+	active   int // lanes in use
+	lastUse  router.Time
+	waiting  []*Job // for a free lane
+	orders   []*loadOrder
+}
+
+type loadOrder struct {
 	id   any
 	n    int
-	done func(code, stand int)
+	done func(code, loaded int)
 }
 
-// Model is one worker, without I/O: memory, lanes, loads, cores, cold start, faults. It takes its time from a
-// turn.Timers and belongs to one goroutine.
+// Model is the model of one worker, without I/O: its memory, lanes, loads, cores, cold start and faults. Its timers are
+// in an eventloop.Timers. It belongs to one goroutine.
 type Model struct {
-	set        *settings.Worker
-	world      World
-	timers     *eventloop.Timers
-	rng        *rand.Rand
-	now, born  router.Time
-	work       map[string]*settings.WorkMethod
-	fns        map[string]*copies
-	order      []string
-	free       int // cores
-	line       []*Job
-	loads      int
-	loadLine   []*copies
-	queued     int
-	jobs       int
-	pushed     []push
-	fallen     bool
-	draining   bool
-	reports    []float64
-	reportLate router.Time
-	history    []reportAt
-
-	// faults, until a time
-	hungUntil, slowUntil, errorsUntil, lateUntil router.Time
-	failing                                      float64 // share of loads that fail, until failingUntil
-	failingUntil                                 router.Time
-	slowFunction                                 string // slower by slowOne, until slowOneUntil
-	slowOne                                      float64
-	slowOneUntil                                 router.Time
-	slow, errors                                 float64
-}
-
-type push struct {
+	cfg            *settings.Worker
+	env            Environment
+	timers         *eventloop.Timers
+	rng            *rand.Rand
+	now, startedAt router.Time
+	work           map[string]*settings.WorkMethod
+	functions      map[string]*functionState
+	functionNames  []string
+	freeCores      int
+	coreQueue      []*Job // have a lane, and wait for a core
+	activeLoads    int
+	loadQueue      []*functionState // an entry for each load that waits to start
+	queued         int              // RPCs that wait for a lane
+	jobCount       int
+	recentWork     []workSample // sent to the cold worker within the window of its overload rule
+	overloaded     bool
+	draining       bool
+	report         []float64
+	reportDelay    router.Time
+	reportHistory  []timedReport
+
+	// injected faults, each in effect until a point in time
+	hangUntil, slowUntil, errorsUntil, reportDelayUntil router.Time
+	loadFailShare                                       float64 // share of loads that fail, until loadFailUntil
+	loadFailUntil                                       router.Time
+	slowFunction                                        string // slower by slowFunctionFactor, until slowFunctionUntil
+	slowFunctionFactor                                  float64
+	slowFunctionUntil                                   router.Time
+	slowFactor, errorShare                              float64
+}
+
+type workSample struct {
 	at   router.Time
 	cost float64
 }
 
-type reportAt struct {
+type timedReport struct {
 	at     router.Time
 	values []float64
 }
 
-// NewModel starts a worker at now; one that is not cold started long ago.
-func NewModel(set *settings.Worker, world World, timers *eventloop.Timers, now router.Time) *Model {
-	m := &Model{set: set, world: world, timers: timers, rng: rand.New(rand.NewSource(set.Seed)), now: now, born: now,
-		work: map[string]*settings.WorkMethod{}, fns: map[string]*copies{}, free: set.Machine.Cores}
-	if !set.Cold {
-		m.born -= set.Rules.Cold
+// NewModel returns the model of a worker that starts at now; if its settings say that it is not cold, its cold start is
+// over already.
+func NewModel(cfg *settings.Worker, env Environment, timers *eventloop.Timers, now router.Time) *Model {
+	m := &Model{cfg: cfg, env: env, timers: timers, rng: rand.New(rand.NewSource(cfg.Seed)), now: now, startedAt: now,
+		work: map[string]*settings.WorkMethod{}, functions: map[string]*functionState{}, freeCores: cfg.Machine.Cores}
+	if !cfg.Cold {
+		m.startedAt -= cfg.Rules.Cold
 	}
-	for i := range set.Work {
-		m.work[set.Work[i].Method] = &set.Work[i]
+	for i := range cfg.Work {
+		m.work[cfg.Work[i].Method] = &cfg.Work[i]
 	}
-	m.reports = []float64{0, 0, 0, 0}
+	m.report = []float64{0, 0, 0, 0}
 	return m
 }
 
-// Begin tells the time of a turn.
-func (m *Model) Begin(now router.Time) { m.now = now }
+// SetTime sets the time of the current turn of the event loop.
+func (m *Model) SetTime(now router.Time) { m.now = now }
 
-// capacity is the share of its full speed that the worker has now.
+// capacity returns the share of its full speed that the worker has now; it rises linearly during the cold start.
 func (m *Model) capacity() float64 {
-	if age := m.now - m.born; age < m.set.Rules.Cold {
-		return m.set.Rules.ColdFrom + (1-m.set.Rules.ColdFrom)*float64(age)/float64(m.set.Rules.Cold)
+	if age := m.now - m.startedAt; age < m.cfg.Rules.Cold {
+		return m.cfg.Rules.ColdFrom + (1-m.cfg.Rules.ColdFrom)*float64(age)/float64(m.cfg.Rules.Cold)
 	}
 	return 1
 }
 
-// Jobs is the number of RPCs that it holds.
-func (m *Model) Jobs() int { return m.jobs }
+// JobCount returns the number of RPCs at the worker that have not ended.
+func (m *Model) JobCount() int { return m.jobCount }
 
-func (m *Model) function(name string, memory float64, lanes int, load router.Time) *copies {
-	fn := m.fns[name]
+func (m *Model) lookup(name string, memory float64, lanes int, loadTime router.Time) *functionState {
+	fn := m.functions[name]
 	if fn == nil {
-		fn = &copies{name: name}
-		m.fns[name] = fn
-		m.order = append(m.order, name)
+		fn = &functionState{name: name}
+		m.functions[name] = fn
+		m.functionNames = append(m.functionNames, name)
 	}
 	if memory > 0 {
-		fn.memory, fn.lanes, fn.load = memory, max(lanes, 1), load
+		fn.memory, fn.lanes, fn.loadTime = memory, max(lanes, 1), loadTime
 	}
 	return fn
 }
 
-// batchCost is what each further RPC of a batch adds to the work of the first, as a share of it: a batch shares what
-// a call of a model costs by itself.
-const batchCost = 0.2
+// batchCostShare is the work that each further RPC of a batch adds, as a share of the first one's work. It is small
+// since the RPCs of a batch share the fixed cost of calling the model.
+const batchCostShare = 0.2
 
-// Batch takes RPCs of one function that ride together: they run as one, each with its own end.
-func (m *Model) Batch(jobs []*Job) {
+// SubmitBatch accepts a batch of RPCs of one function. They run as one, but each gets its own response.
+func (m *Model) SubmitBatch(jobs []*Job) {
 	lead := jobs[0]
 	lead.batch = jobs[1:]
 	for _, j := range lead.batch {
-		m.jobs++
+		m.jobCount++
 		j.lead = lead
 		if j.work = m.work[j.Method]; j.work == nil {
 			j.work = &settings.WorkMethod{Method: j.Method, Effect: router.SideEffecting}
 		}
-		m.press(j)
-		lead.Until = max(lead.Until, j.Until)
+		m.checkColdOverload(j)
+		lead.Deadline = max(lead.Deadline, j.Deadline)
 	}
-	m.Request(lead)
+	m.Submit(lead)
 }
 
-// Request takes an RPC.
-func (m *Model) Request(j *Job) {
-	m.jobs++
+// Submit accepts an RPC.
+func (m *Model) Submit(j *Job) {
+	m.jobCount++
 	j.work = m.work[j.Method]
 	if j.work == nil {
 		j.work = &settings.WorkMethod{Method: j.Method, Effect: router.SideEffecting}
 	}
-	m.press(j)
-	fn := m.function(j.Function, j.Memory, j.Lanes, j.Load)
-	j.fn = fn
-	j.answer.Crowd = fn.active + len(fn.waiting)
-	if m.now < m.hungUntil {
-		return // taken, and never answered
+	m.checkColdOverload(j)
+	fn := m.lookup(j.Function, j.Memory, j.Lanes, j.LoadTime)
+	j.function = fn
+	j.response.RPCsAtCopies = fn.active + len(fn.waiting)
+	if m.now < m.hangUntil {
+		return // accepted, but never answered
 	}
 	switch {
 	case m.draining:
-		m.finish(j, Answer{Code: full, Message: "it drains"})
+		m.finish(j, Response{Code: codeFull, Message: "it drains"})
 		return
-	case m.now < m.errorsUntil && m.rng.Float64() < m.errors:
-		fail := func(_, _ bool) { m.finish(j, Answer{Code: failed, Message: "it failed"}) }
+	case m.now < m.errorsUntil && m.rng.Float64() < m.errorShare:
+		fail := func(_, _ bool) { m.finish(j, Response{Code: codeFailed, Message: "it failed"}) }
 		if m.rng.Intn(2) == 0 {
-			m.effect(j, fail) // an error proves nothing: the effect may have happened
+			m.applyEffect(j, fail) // an error does not prove that the effect has not happened
 		} else {
 			fail(false, true)
 		}
 		return
 	}
 	fn.lastUse = m.now
-	if fn.active < m.lanes(fn) && len(fn.waiting) == 0 {
-		j.answer.Warmth = "stood"
-		m.begin(j)
+	if fn.active < m.usableLanes(fn) && len(fn.waiting) == 0 {
+		j.response.Warmth = "stood"
+		m.start(j)
 		return
 	}
-	if m.queued >= m.set.Machine.Queue {
-		m.finish(j, Answer{Code: full, Message: "no place in the queue"})
+	if m.queued >= m.cfg.Machine.Queue {
+		m.finish(j, Response{Code: codeFull, Message: "no place in the queue"})
 		return
 	}
-	j.answer.Warmth = "stood"
-	room := fn.loading*fn.lanes - len(fn.waiting)
+	j.response.Warmth = "stood"
+	freeLanes := fn.loading*fn.lanes - len(fn.waiting)
 	switch {
-	case room > 0:
-		j.answer.Warmth = "joined"
+	case freeLanes > 0:
+		j.response.Warmth = "joined"
 	case m.startLoad(fn):
-		j.answer.Warmth = "began"
-	case fn.stand-fn.stale+fn.loading == 0:
-		m.finish(j, Answer{Code: full, Message: "no room for a load"})
+		j.response.Warmth = "began"
+	case fn.loaded-fn.stale+fn.loading == 0:
+		m.finish(j, Response{Code: codeFull, Message: "no room for a load"})
 		return
 	}
 	m.queued++
 	fn.waiting = append(fn.waiting, j)
-	m.timers.Set(&j.timer, j.Until, func(now router.Time) { m.now = now; m.drop(j, "its time was up before it began") })
+	m.timers.Set(&j.timer, j.Deadline, func(now router.Time) { m.now = now; m.dropWaiting(j, "its time was up before it began") })
 }
 
-func (m *Model) lanes(fn *copies) int { return (fn.stand - fn.stale) * fn.lanes }
+func (m *Model) usableLanes(fn *functionState) int { return (fn.loaded - fn.stale) * fn.lanes }
 
-// press counts what is pushed at a cold worker; too much within the window has it fall.
-func (m *Model) press(j *Job) {
-	r := &m.set.Rules
-	if m.now-m.born >= r.Cold || m.fallen {
+// checkColdOverload counts the work that a cold worker is sent. If it is more than the overload rule allows within its
+// window, the worker fails.
+func (m *Model) checkColdOverload(j *Job) {
+	rules := &m.cfg.Rules
+	if m.now-m.startedAt >= rules.Cold || m.overloaded {
 		return
 	}
-	m.pushed = append(m.pushed, push{m.now, float64(j.work.Mean)})
-	m.pushed = slices.DeleteFunc(m.pushed, func(p push) bool { return p.at < m.now-r.Fall })
-	sum := 0.0
-	for _, p := range m.pushed {
-		sum += p.cost
+	m.recentWork = append(m.recentWork, workSample{m.now, float64(j.work.Mean)})
+	m.recentWork = slices.DeleteFunc(m.recentWork, func(p workSample) bool { return p.at < m.now-rules.Fall })
+	work := 0.0
+	for _, p := range m.recentWork {
+		work += p.cost
 	}
-	could := r.FallMultiple * m.capacity() * float64(m.set.Machine.Cores) * m.set.Machine.Speed * float64(r.Fall)
-	if sum > could+3*float64(j.work.Mean) { // slack for chance
-		m.fallen = true
-		m.world.Fell(sum/10, could/10)
+	maxWork := rules.FallMultiple * m.capacity() * float64(m.cfg.Machine.Cores) * m.cfg.Machine.Speed * float64(rules.Fall)
+	if work > maxWork+3*float64(j.work.Mean) { // slack for random variation
+		m.overloaded = true
+		m.env.ColdOverload(work/10, maxWork/10)
 	}
 }
 
-// drop takes an RPC that has not begun out of the line.
-func (m *Model) drop(j *Job, why string) bool {
-	at := slices.Index(j.fn.waiting, j)
-	if at < 0 {
+// dropWaiting removes an RPC that waits for a lane from its queue; it returns false if the RPC does not wait.
+func (m *Model) dropWaiting(j *Job, reason string) bool {
+	index := slices.Index(j.function.waiting, j)
+	if index < 0 {
 		return false
 	}
-	j.fn.waiting = slices.Delete(j.fn.waiting, at, at+1)
+	j.function.waiting = slices.Delete(j.function.waiting, index, index+1)
 	m.queued--
-	m.finish(j, Answer{Code: full, Message: why})
+	m.finish(j, Response{Code: codeFull, Message: reason})
 	return true
 }
 
-// CallOff drops an RPC that has not begun, and stops one that runs, as far as the machine does that. A load that
-// nobody waits for any more is given up: see nextLoads and runLoad.
-func (m *Model) CallOff(j *Job) {
-	if j.lead != nil || len(j.batch) > 0 { // the others go on
+// Cancel drops an RPC that has not started and stops one that runs, as far as the machine settings allow. A load for
+// which nothing waits any more is abandoned by startQueuedLoads or runLoad.
+func (m *Model) Cancel(j *Job) {
+	if j.lead != nil || len(j.batch) > 0 { // the other RPCs of the batch continue
 		switch lead := cmp.Or(j.lead, j); {
-		case j.over || m.now < m.hungUntil:
-		case lead.begun:
-			m.finish1(j, Answer{Code: calledOff, Message: "called off while it ran"})
+		case j.finished || m.now < m.hangUntil:
+		case lead.started:
+			m.finishOne(j, Response{Code: codeCancelled, Message: "called off while it ran"})
 		default:
-			m.finish1(j, Answer{Code: full, Message: "called off before it began"})
+			m.finishOne(j, Response{Code: codeFull, Message: "called off before it began"})
 		}
 		return
 	}
-	if j.over || m.set.Machine.Stops == "nothing" || m.now < m.hungUntil {
+	if j.finished || m.cfg.Machine.Stops == "nothing" || m.now < m.hangUntil {
 		return
 	}
-	if m.drop(j, "called off before it began") || m.set.Machine.Stops == "waiting" || !j.begun || j.ran {
+	if m.dropWaiting(j, "called off before it began") || m.cfg.Machine.Stops == "waiting" || !j.started || j.effectDone {
 		return
 	}
-	if at := slices.Index(m.line, j); at >= 0 { // it had a lane and waited for a core
-		m.line = slices.Delete(m.line, at, at+1)
-		m.leaveLane(j, Answer{Code: full, Message: "called off before it began"})
+	if index := slices.Index(m.coreQueue, j); index >= 0 { // it has a lane and waits for a core
+		m.coreQueue = slices.Delete(m.coreQueue, index, index+1)
+		m.releaseLane(j, Response{Code: codeFull, Message: "called off before it began"})
 		return
 	}
 	m.timers.Stop(&j.timer)
-	m.free++
-	m.world.Worked(j, m.now-j.coreAt)
-	m.leaveLane(j, Answer{Code: calledOff, Message: "called off while it ran"})
-}
-
-// Unhold gives up a load order.
-func (m *Model) Unhold(id any) {
-	for _, name := range m.order {
-		fn := m.fns[name]
-		for i, h := range fn.holds {
-			if h.id == id {
-				fn.holds = slices.Delete(fn.holds, i, i+1)
-				h.done(full, fn.stand-fn.stale)
+	m.freeCores++
+	m.env.RecordWork(j, m.now-j.coreSince)
+	m.releaseLane(j, Response{Code: codeCancelled, Message: "called off while it ran"})
+}
+
+// CancelLoad cancels the load order with the given id.
+func (m *Model) CancelLoad(id any) {
+	for _, name := range m.functionNames {
+		fn := m.functions[name]
+		for i, order := range fn.orders {
+			if order.id == id {
+				fn.orders = slices.Delete(fn.orders, i, i+1)
+				order.done(codeFull, fn.loaded-fn.stale)
 				return
 			}
 		}
 	}
 }
 
-// unwanted: nobody waits for the load any more.
-func (m *Model) unwanted(fn *copies) bool {
-	return m.set.Machine.Stops != "nothing" && len(fn.waiting) == 0 && len(fn.holds) == 0
+// loadUnwanted reports whether nothing waits for a load of fn any more and the machine stops such loads.
+func (m *Model) loadUnwanted(fn *functionState) bool {
+	return m.cfg.Machine.Stops != "nothing" && len(fn.waiting) == 0 && len(fn.orders) == 0
 }
 
-func (m *Model) finish(j *Job, a Answer) {
+func (m *Model) finish(j *Job, a Response) {
 	m.timers.Stop(&j.timer)
-	m.finish1(j, a)
-	for _, rider := range j.batch {
-		rider.answer = j.answer
-		m.finish1(rider, a)
+	m.finishOne(j, a)
+	for _, member := range j.batch {
+		member.response = j.response
+		m.finishOne(member, a)
 	}
 }
 
-// finish1 ends one RPC, whatever it rides with.
-func (m *Model) finish1(j *Job, a Answer) {
-	if j.over {
+// finishOne ends one RPC, not the other RPCs of its batch.
+func (m *Model) finishOne(j *Job, a Response) {
+	if j.finished {
 		return
 	}
-	j.over = true
-	m.jobs--
-	a.Crowd = j.answer.Crowd
+	j.finished = true
+	m.jobCount--
+	a.RPCsAtCopies = j.response.RPCsAtCopies
 	if a.Warmth == "" && a.Code == 0 {
-		a.Warmth = j.answer.Warmth
+		a.Warmth = j.response.Warmth
 	}
-	if m.now >= m.hungUntil {
+	if m.now >= m.hangUntil {
 		j.Done(a)
 	}
 }
 
-// begin has an RPC run: it takes a lane, then waits for a core.
-func (m *Model) begin(j *Job) {
-	j.begun = true
+// start gives an RPC a lane and queues it for a core.
+func (m *Model) start(j *Job) {
+	j.started = true
 	m.timers.Stop(&j.timer)
-	j.fn.active++
-	m.line = append(m.line, j)
-	m.dispatch()
+	j.function.active++
+	m.coreQueue = append(m.coreQueue, j)
+	m.startQueued()
 }
 
-func (m *Model) dispatch() {
-	for m.free > 0 && len(m.line) > 0 {
-		j := m.line[0]
-		m.line = m.line[1:]
-		m.free--
+func (m *Model) startQueued() {
+	for m.freeCores > 0 && len(m.coreQueue) > 0 {
+		j := m.coreQueue[0]
+		m.coreQueue = m.coreQueue[1:]
+		m.freeCores--
 		work := float64(j.work.Mean)
 		if s := j.work.Spread; s > 0 {
 			work *= math.Exp(s*m.rng.NormFloat64() - s*s/2)
 		}
-		work *= 1 + batchCost*float64(len(j.batch))
-		if m.now < m.slowOneUntil && j.Function == m.slowFunction {
-			work *= m.slowOne
+		work *= 1 + batchCostShare*float64(len(j.batch))
+		if m.now < m.slowFunctionUntil && j.Function == m.slowFunction {
+			work *= m.slowFunctionFactor
 		}
 		if m.now < m.slowUntil {
-			work *= m.slow
+			work *= m.slowFactor
 		}
-		j.coreAt = m.now
-		span := max(router.Time(work/(m.set.Machine.Speed*m.capacity())), 0)
+		j.coreSince = m.now
+		span := max(router.Time(work/(m.cfg.Machine.Speed*m.capacity())), 0)
 		if span == 0 {
-			m.ran(j)
+			m.workDone(j)
 			continue
 		}
-		m.timers.Set(&j.timer, m.now+span, func(now router.Time) { m.now = now; m.ran(j) })
+		m.timers.Set(&j.timer, m.now+span, func(now router.Time) { m.now = now; m.workDone(j) })
 	}
 }
 
-// ran ends an RPC's work.
-func (m *Model) ran(j *Job) {
-	m.free++
-	j.ran = true
-	m.world.Worked(j, m.now-j.coreAt)
-	for _, rider := range j.batch {
-		if !rider.over {
-			m.world.Effect(rider, false) // only idempotent RPCs ride
+// workDone handles the end of an RPC's work: it frees the core, applies the effect and sends the response.
+func (m *Model) workDone(j *Job) {
+	m.freeCores++
+	j.effectDone = true
+	m.env.RecordWork(j, m.now-j.coreSince)
+	for _, member := range j.batch {
+		if !member.finished {
+			m.env.RecordEffect(member, false) // only idempotent RPCs are batched
 		}
 	}
-	m.effect(j, func(first, ok bool) {
+	m.applyEffect(j, func(first, ok bool) {
 		if !ok {
-			m.leaveLane(j, Answer{Code: failed, Message: "its token can't be looked up"})
+			m.releaseLane(j, Response{Code: codeFailed, Message: "its token can't be looked up"})
 			return
 		}
-		m.leaveLane(j, Answer{Repeat: !first})
+		m.releaseLane(j, Response{Repeat: !first})
 	})
-	m.dispatch()
+	m.startQueued()
 }
 
-// effect makes an RPC's effect happen; of a tokened one it asks first whether it has happened, and drops a repeat's.
-func (m *Model) effect(j *Job, then func(first, ok bool)) {
+// applyEffect applies an RPC's effect. For a tokened RPC it claims the token first, and drops the effect of a repeat.
+func (m *Model) applyEffect(j *Job, done func(first, ok bool)) {
 	if j.work.Effect != router.Tokened || j.Token == "" {
-		m.world.Effect(j, false)
-		then(true, true)
+		m.env.RecordEffect(j, false)
+		done(true, true)
 		return
 	}
 	group := j.work.Group
 	switch group {
 	case "zone":
-		group += " " + m.set.Zone
+		group += " " + m.cfg.Zone
 	case "cell":
-		group += " " + m.set.Cell
+		group += " " + m.cfg.Cell
 	}
-	m.world.Claim(group, j.Token, j.work.Window, func(first, ok bool) {
-		if ok { // else the group's memory of tokens is out of reach, and nothing happens
-			m.world.Effect(j, !first)
+	m.env.ClaimToken(group, j.Token, j.work.Window, func(first, ok bool) {
+		if ok { // otherwise the group's tokens can't be reached, and there is no effect
+			m.env.RecordEffect(j, !first)
 		}
-		then(first, ok)
+		done(first, ok)
 	})
 }
 
-func (m *Model) leaveLane(j *Job, a Answer) {
-	fn := j.fn
+func (m *Model) releaseLane(j *Job, a Response) {
+	fn := j.function
 	fn.active--
 	fn.lastUse = m.now
 	m.finish(j, a)
-	for fn.stale > 0 && fn.active <= (fn.stand-1)*fn.lanes {
+	for fn.stale > 0 && fn.active <= (fn.loaded-1)*fn.lanes {
 		fn.stale--
-		fn.stand--
+		fn.loaded--
 	}
-	m.fill(fn)
-	m.dispatch()
-	m.nextLoads()
+	m.startWaiting(fn)
+	m.startQueued()
+	m.startQueuedLoads()
 }
 
-// fill begins what waits for lanes.
-func (m *Model) fill(fn *copies) {
-	for len(fn.waiting) > 0 && fn.active < m.lanes(fn) {
+// startWaiting starts RPCs that wait for a lane while lanes are free.
+func (m *Model) startWaiting(fn *functionState) {
+	for len(fn.waiting) > 0 && fn.active < m.usableLanes(fn) {
 		j := fn.waiting[0]
 		fn.waiting = fn.waiting[1:]
 		m.queued--
-		m.begin(j)
+		m.start(j)
 	}
 }
 
-// startLoad begins a load of one copy, or puts it in the line of loads; false: there is no room.
-func (m *Model) startLoad(fn *copies) bool {
-	if m.loads >= m.set.Machine.LoadsAtOnce && len(m.loadLine) >= 2*m.set.Machine.LoadsAtOnce ||
-		!m.makeRoom(fn.memory) {
+// startLoad starts or queues the load of one copy; it returns false if the queue of loads is full or no memory is free.
+func (m *Model) startLoad(fn *functionState) bool {
+	if m.activeLoads >= m.cfg.Machine.LoadsAtOnce && len(m.loadQueue) >= 2*m.cfg.Machine.LoadsAtOnce ||
+		!m.freeMemory(fn.memory) {
 		return false
 	}
 	fn.loading++
-	if m.loads >= m.set.Machine.LoadsAtOnce {
-		m.loadLine = append(m.loadLine, fn)
+	if m.activeLoads >= m.cfg.Machine.LoadsAtOnce {
+		m.loadQueue = append(m.loadQueue, fn)
 		return true
 	}
 	m.runLoad(fn)
 	return true
 }
 
-func (m *Model) runLoad(fn *copies) {
-	m.loads++
-	share := m.set.Machine.StartShare
-	m.world.Fetch(fn.name, router.Time(float64(fn.load)*(1-share)), func(ok bool) {
-		if ok && m.rng.Float64() < m.loadFails() {
+func (m *Model) runLoad(fn *functionState) {
+	m.activeLoads++
+	share := m.cfg.Machine.StartShare
+	m.env.Fetch(fn.name, router.Time(float64(fn.loadTime)*(1-share)), func(ok bool) {
+		if ok && m.rng.Float64() < m.loadFailureShare() {
 			ok = false
 		}
-		if !ok || m.unwanted(fn) {
-			m.loaded(fn, false)
+		if !ok || m.loadUnwanted(fn) {
+			m.loadEnded(fn, false)
 			return
 		}
-		start := float64(fn.load) * share * math.Exp(0.3*m.rng.NormFloat64())
-		m.timers.Set(new(eventloop.Timer), m.now+router.Time(start), func(now router.Time) { m.now = now; m.loaded(fn, true) })
+		start := float64(fn.loadTime) * share * math.Exp(0.3*m.rng.NormFloat64())
+		m.timers.Set(new(eventloop.Timer), m.now+router.Time(start), func(now router.Time) { m.now = now; m.loadEnded(fn, true) })
 	})
 }
 
-func (m *Model) loadFails() float64 {
-	if m.now < m.failingUntil {
-		return max(m.failing, m.set.Machine.LoadFails)
+func (m *Model) loadFailureShare() float64 {
+	if m.now < m.loadFailUntil {
+		return max(m.loadFailShare, m.cfg.Machine.LoadFails)
 	}
-	return m.set.Machine.LoadFails
+	return m.cfg.Machine.LoadFails
 }
 
-func (m *Model) loaded(fn *copies, ok bool) {
-	m.loads--
+func (m *Model) loadEnded(fn *functionState, ok bool) {
+	m.activeLoads--
 	fn.loading--
 	if ok {
-		fn.stand++
+		fn.loaded++
 		fn.lastUse = m.now
-		m.fill(fn)
-	} else if fn.stand-fn.stale+fn.loading == 0 {
+		m.startWaiting(fn)
+	} else if fn.loaded-fn.stale+fn.loading == 0 {
 		waiting := fn.waiting
 		fn.waiting = nil
 		for _, j := range waiting {
 			m.queued--
-			m.finish(j, Answer{Code: missed, Message: "its load failed", Warmth: "load failed"})
+			m.finish(j, Response{Code: codeNotLoaded, Message: "its load failed", Warmth: "load failed"})
 		}
 	}
-	holds := fn.holds
-	fn.holds = nil
-	for _, h := range holds {
+	orders := fn.orders
+	fn.orders = nil
+	for _, order := range orders {
 		switch {
-		case fn.stand-fn.stale >= h.n:
-			h.done(0, fn.stand-fn.stale)
+		case fn.loaded-fn.stale >= order.n:
+			order.done(0, fn.loaded-fn.stale)
 		case fn.loading == 0:
-			h.done(loadError, fn.stand-fn.stale)
+			order.done(codeLoadError, fn.loaded-fn.stale)
 		default:
-			fn.holds = append(fn.holds, h)
+			fn.orders = append(fn.orders, order)
 		}
 	}
-	m.nextLoads()
+	m.startQueuedLoads()
 }
 
-func (m *Model) nextLoads() {
-	for len(m.loadLine) > 0 && m.loads < m.set.Machine.LoadsAtOnce {
-		fn := m.loadLine[0]
-		m.loadLine = m.loadLine[1:]
-		if len(fn.waiting) == 0 && len(fn.holds) == 0 { // nothing waits for it any more
+func (m *Model) startQueuedLoads() {
+	for len(m.loadQueue) > 0 && m.activeLoads < m.cfg.Machine.LoadsAtOnce {
+		fn := m.loadQueue[0]
+		m.loadQueue = m.loadQueue[1:]
+		if len(fn.waiting) == 0 && len(fn.orders) == 0 { // nothing waits for the load any more
 			fn.loading--
 			continue
 		}
@@ -524,172 +527,184 @@
 	}
 }
 
-// memory is what is held, and what of it can't be freed.
-func (m *Model) memory() (held, pinned float64) {
-	for _, name := range m.order {
-		fn := m.fns[name]
-		held += float64(fn.stand+fn.loading) * fn.memory
-		pinned += float64(fn.stand+fn.loading-fn.idle()) * fn.memory
+// memoryUse returns the memory in use, and the part of it that can't be freed (all but idle copies).
+func (m *Model) memoryUse() (used, pinned float64) {
+	for _, name := range m.functionNames {
+		fn := m.functions[name]
+		used += float64(fn.loaded+fn.loading) * fn.memory
+		pinned += float64(fn.loaded+fn.loading-fn.idleCopies()) * fn.memory
 	}
-	return held, pinned
+	return used, pinned
 }
 
-// idle copies have no RPC at work.
-func (fn *copies) idle() int { return max(0, fn.stand-(fn.active+fn.lanes-1)/max(fn.lanes, 1)) }
+// idleCopies returns the number of loaded copies that run no RPC.
+func (fn *functionState) idleCopies() int {
+	return max(0, fn.loaded-(fn.active+fn.lanes-1)/max(fn.lanes, 1))
+}
 
-// makeRoom unloads idle copies, the one idle longest first, until need fits.
-func (m *Model) makeRoom(need float64) bool {
-	held, pinned := m.memory()
-	if pinned+need > m.set.Machine.Memory {
+// freeMemory unloads idle copies, of the least recently used function first, until need more MB fit; it returns false
+// if they can't.
+func (m *Model) freeMemory(need float64) bool {
+	used, pinned := m.memoryUse()
+	if pinned+need > m.cfg.Machine.Memory {
 		return false
 	}
-	for held+need > m.set.Machine.Memory {
-		var oldest *copies
-		for _, name := range m.order {
-			if fn := m.fns[name]; fn.idle() > 0 && (oldest == nil || fn.lastUse < oldest.lastUse) {
+	for used+need > m.cfg.Machine.Memory {
+		var oldest *functionState
+		for _, name := range m.functionNames {
+			if fn := m.functions[name]; fn.idleCopies() > 0 && (oldest == nil || fn.lastUse < oldest.lastUse) {
 				oldest = fn
 			}
 		}
 		if oldest == nil {
 			return false
 		}
-		oldest.stand--
-		oldest.stale = min(oldest.stale, oldest.stand)
-		held -= oldest.memory
+		oldest.loaded--
+		oldest.stale = min(oldest.stale, oldest.loaded)
+		used -= oldest.memory
 	}
 	return true
 }
 
-// Hold answers a load order: done is told once n copies stand, or can't.
-func (m *Model) Hold(id any, function string, n int, memory float64, lanes int, load router.Time,
-	done func(code, stand int)) {
-	fn := m.function(function, memory, lanes, load)
-	if m.now < m.hungUntil {
+// OrderLoad accepts a load order: done is called once n copies are loaded, or when they can't be.
+func (m *Model) OrderLoad(id any, function string, n int, memory float64, lanes int, loadTime router.Time,
+	done func(code, loaded int)) {
+	fn := m.lookup(function, memory, lanes, loadTime)
+	if m.now < m.hangUntil {
 		return
 	}
 	fn.lastUse = m.now
-	stand := fn.stand - fn.stale
-	if n <= stand {
-		done(0, stand)
+	loaded := fn.loaded - fn.stale
+	if n <= loaded {
+		done(0, loaded)
 		return
 	}
 	if m.draining || fn.memory == 0 {
-		done(full, stand)
+		done(codeFull, loaded)
 		return
 	}
-	for fn.stand-fn.stale+fn.loading < n {
+	for fn.loaded-fn.stale+fn.loading < n {
 		if !m.startLoad(fn) {
-			done(full, stand)
+			done(codeFull, loaded)
 			return
 		}
 	}
-	fn.holds = append(fn.holds, &hold{id, n, done})
+	fn.orders = append(fn.orders, &loadOrder{id, n, done})
 }
 
-// Look does what comes round: copies idle past the keep-alive go, and the report is made anew.
-func (m *Model) Look() {
-	for _, name := range m.order {
-		if fn := m.fns[name]; fn.idle() > 0 && m.now-fn.lastUse >= m.set.Machine.KeepAlive {
-			fn.stand -= fn.idle()
-			fn.stale = min(fn.stale, fn.stand)
+// Housekeep does the periodic work: it unloads copies that have been idle for the keep-alive time, and updates the load
+// report.
+func (m *Model) Housekeep() {
+	for _, name := range m.functionNames {
+		if fn := m.functions[name]; fn.idleCopies() > 0 && m.now-fn.lastUse >= m.cfg.Machine.KeepAlive {
+			fn.loaded -= fn.idleCopies()
+			fn.stale = min(fn.stale, fn.loaded)
 		}
 	}
-	_, pinned := m.memory()
-	values := []float64{float64(m.set.Machine.Cores-m.free) / float64(m.set.Machine.Cores),
-		pinned / m.set.Machine.Memory, float64(m.jobs), float64(m.loads + len(m.loadLine))}
-	m.history = append(m.history, reportAt{m.now, values})
-	if m.now >= m.lateUntil {
-		m.reportLate = 0
+	_, pinned := m.memoryUse()
+	values := []float64{float64(m.cfg.Machine.Cores-m.freeCores) / float64(m.cfg.Machine.Cores),
+		pinned / m.cfg.Machine.Memory, float64(m.jobCount), float64(m.activeLoads + len(m.loadQueue))}
+	m.reportHistory = append(m.reportHistory, timedReport{m.now, values})
+	if m.now >= m.reportDelayUntil {
+		m.reportDelay = 0
 	}
-	for len(m.history) > 0 && m.history[0].at <= m.now-m.reportLate {
-		m.reports = m.history[0].values
-		m.history = m.history[1:]
+	for len(m.reportHistory) > 0 && m.reportHistory[0].at <= m.now-m.reportDelay {
+		m.report = m.reportHistory[0].values
+		m.reportHistory = m.reportHistory[1:]
 	}
 }
 
-// Report is the load report as it stands, in the order of settings.ReportValues.
-func (m *Model) Report() []float64 { return m.reports }
+// Report returns the current load report, in the order of settings.ReportValues.
+func (m *Model) Report() []float64 { return m.report }
 
-// Drain has the worker take nothing new.
+// Drain makes the worker refuse new RPCs and loads.
 func (m *Model) Drain() { m.draining = true }
 
-// Hang has it take RPCs and answer none.
-func (m *Model) Hang(span router.Time) { m.hungUntil = m.now + span }
+// Hang makes the worker accept RPCs and answer none, for the given time.
+func (m *Model) Hang(span router.Time) { m.hangUntil = m.now + span }
 
-// Slow has work take longer, by a factor.
-func (m *Model) Slow(factor float64, span router.Time) { m.slow, m.slowUntil = factor, m.now+span }
+// Slow makes the work of all RPCs take longer by a factor.
+func (m *Model) Slow(factor float64, span router.Time) {
+	m.slowFactor, m.slowUntil = factor, m.now+span
+}
 
-// SlowOne has one function's work take longer, by a factor.
-func (m *Model) SlowOne(function string, factor float64, span router.Time) {
-	m.slowFunction, m.slowOne, m.slowOneUntil = function, factor, m.now+span
+// SlowFunction makes the work of one function take longer by a factor.
+func (m *Model) SlowFunction(function string, factor float64, span router.Time) {
+	m.slowFunction, m.slowFunctionFactor, m.slowFunctionUntil = function, factor, m.now+span
 }
 
-// Hangs tells whether it answers nothing now.
-func (m *Model) Hangs() bool { return m.now < m.hungUntil }
+// Hanging reports whether the worker hangs now.
+func (m *Model) Hanging() bool { return m.now < m.hangUntil }
 
-// Overfull tells where the worker holds more than it has: memory, cores, or lanes of a function. Empty: nowhere. It is
-// for tests of the model itself.
-func (m *Model) Overfull() string {
-	if held, _ := m.memory(); held > m.set.Machine.Memory {
-		return fmt.Sprintf("holds %.0f of %.0f MB", held, m.set.Machine.Memory)
+// OverCapacity describes which limit of the worker is exceeded: memory, cores, or the lanes of a function. It returns an
+// empty string if none is. It is for tests of the model itself.
+func (m *Model) OverCapacity() string {
+	if used, _ := m.memoryUse(); used > m.cfg.Machine.Memory {
+		return fmt.Sprintf("holds %.0f of %.0f MB", used, m.cfg.Machine.Memory)
 	}
-	if m.free < 0 || m.free > m.set.Machine.Cores {
-		return fmt.Sprintf("%d of %d cores are free", m.free, m.set.Machine.Cores)
+	if m.freeCores < 0 || m.freeCores > m.cfg.Machine.Cores {
+		return fmt.Sprintf("%d of %d cores are free", m.freeCores, m.cfg.Machine.Cores)
 	}
-	for _, name := range m.order {
-		if fn := m.fns[name]; fn.active > fn.stand*fn.lanes {
-			return fmt.Sprintf("%s: %d RPCs in %d lanes", name, fn.active, fn.stand*fn.lanes)
+	for _, name := range m.functionNames {
+		if fn := m.functions[name]; fn.active > fn.loaded*fn.lanes {
+			return fmt.Sprintf("%s: %d RPCs in %d lanes", name, fn.active, fn.loaded*fn.lanes)
 		}
 	}
 	return ""
 }
 
-// Stands tells of the function that is names: lanes of copies that are free, and whether a load is under way.
-func (m *Model) Stands(is func(name string) bool) (free int, loading bool) {
-	for _, name := range m.order {
-		if fn := m.fns[name]; is(name) {
-			return m.lanes(fn) - fn.active - len(fn.waiting), fn.loading > 0
+// FreeLanes returns the number of free lanes of the first function that matches, less the RPCs that wait for one, and
+// whether a copy of it is being loaded.
+func (m *Model) FreeLanes(matches func(name string) bool) (free int, loading bool) {
+	for _, name := range m.functionNames {
+		if fn := m.functions[name]; matches(name) {
+			return m.usableLanes(fn) - fn.active - len(fn.waiting), fn.loading > 0
 		}
 	}
 	return 0, false
 }
 
-// LoadsFail has a share of loads fail for a time.
-func (m *Model) LoadsFail(share float64, span router.Time) {
-	m.failing, m.failingUntil = share, m.now+span
+// FailLoads makes a share of loads fail.
+func (m *Model) FailLoads(share float64, span router.Time) {
+	m.loadFailShare, m.loadFailUntil = share, m.now+span
 }
 
-// Errors has a share of RPCs fail at once.
-func (m *Model) Errors(share float64, span router.Time) { m.errors, m.errorsUntil = share, m.now+span }
+// FailRPCs makes a share of RPCs fail immediately.
+func (m *Model) FailRPCs(share float64, span router.Time) {
+	m.errorShare, m.errorsUntil = share, m.now+span
+}
 
-// ReportsLate has reports come later.
-func (m *Model) ReportsLate(by, span router.Time) { m.reportLate, m.lateUntil = by, m.now+span }
+// DelayReports delays load reports.
+func (m *Model) DelayReports(by, span router.Time) {
+	m.reportDelay, m.reportDelayUntil = by, m.now+span
+}
 
-// Release voids the copies of the functions that hit names: a release anew. Those at work go when they are done.
-func (m *Model) Release(hit func(function string) bool) {
-	for _, name := range m.order {
-		if fn := m.fns[name]; hit(name) {
-			fn.stand -= fn.idle()
-			fn.stale = fn.stand
+// Release simulates a new release of the functions that released selects: their copies become stale. Idle ones are
+// unloaded at once, the others when they become idle.
+func (m *Model) Release(released func(function string) bool) {
+	for _, name := range m.functionNames {
+		if fn := m.functions[name]; released(name) {
+			fn.loaded -= fn.idleCopies()
+			fn.stale = fn.loaded
 		}
 	}
 }
 
-// Answer codes, as docs/protocol.md has them.
+// Error codes of responses, as specified in docs/protocol.md.
 const (
-	full      = -32010
-	missed    = -32011
-	failed    = -32012
-	calledOff = -32013
-	loadError = -32014
+	codeFull      = -32010
+	codeNotLoaded = -32011
+	codeFailed    = -32012
+	codeCancelled = -32013
+	codeLoadError = -32014
 )
 
-// markOf reads the client's mark of one try from a payload: its member "mark", where it has one.
-func markOf(payload []byte) string {
+// clientMark returns the mark by which a client identifies one try: the member "mark" of the payload, if any.
+func clientMark(payload []byte) string {
 	if mark := member(payload, "mark"); mark != "" {
 		return mark
 	}
-	return member(jsonrpc.Member(payload, "parameters"), "mark") // an infer's
+	return member(jsonrpc.Member(payload, "parameters"), "mark") // of an infer request
 }
 
 func requestRecord(j *Job, frontEnd string) record.Record {
--- a/internal/standin/models.go
+++ b/internal/standin/models.go
@@ -10,9 +10,9 @@
 	"mallowlanding/internal/tensor"
 )
 
-// infer runs a stand-in model on an infer's payload: sum* adds the elements of each input, all others give their
-// inputs back. It reports false for a payload that is no infer.
-func infer(payload, blob []byte) (value, out []byte, is bool, err error) {
+// runModel runs a stand-in model on the payload of an infer request: models named sum* add up the elements of each
+// input, all others return their inputs. It returns false if the payload is not that of an infer request.
+func runModel(payload, blob []byte) (value, out []byte, isInfer bool, err error) {
 	raw := jsonrpc.Member(payload, "inputs")
 	if raw == nil {
 		return nil, nil, false, nil
@@ -26,22 +26,22 @@
 	if strings.HasPrefix(model, "sum") {
 		outputs = nil
 		for _, in := range inputs {
-			out, err := sum(in)
+			out, err := sumElements(in)
 			if err != nil {
 				return nil, nil, true, err
 			}
 			outputs = append(outputs, out)
 		}
 	}
-	if len(blob) > 0 { // they come back as they came
+	if len(blob) > 0 { // the outputs use the encoding of the inputs
 		value, out = tensor.AppendWithBlob([]byte(`{"outputs":`), outputs)
 		return append(value, '}'), out, true, nil
 	}
 	return append(tensor.AppendInline([]byte(`{"outputs":`), outputs), '}'), nil, true, nil
 }
 
-// sum adds up FP32 or INT32 elements; INT32 wraps.
-func sum(in tensor.Tensor) (tensor.Tensor, error) {
+// sumElements adds up FP32 or INT32 elements; INT32 sums wrap around.
+func sumElements(in tensor.Tensor) (tensor.Tensor, error) {
 	out := tensor.Tensor{Name: in.Name, Datatype: in.Datatype, Shape: []int64{1}}
 	var floats float32
 	var ints uint32
--- a/internal/standin/roster.go
+++ b/internal/standin/roster.go
@@ -21,69 +21,69 @@
 	"mallowlanding/router"
 )
 
-// roster tells front ends who runs, drains and is gone, as late as its settings say. It knows of workers by their
-// connections to it: one that ends is a process that ended.
+// roster reports to front ends which workers run, drain or have been removed, with the delay that its settings say. It
+// learns of workers from their connections: when a connection ends, so has the process.
 type roster struct {
-	set    *settings.Roster
-	log    zerolog.Logger
-	rec    *record.Log
-	loop   *eventloop.Loop
-	timers eventloop.Timers
+	cfg     *settings.Roster
+	log     zerolog.Logger
+	records *record.Log
+	loop    *eventloop.Loop
+	timers  eventloop.Timers
 
 	version  uint64
-	members  map[string]*membership
+	entries  map[string]*rosterEntry
 	order    []string
 	watchers map[*rosterConn]bool
 }
 
-// membership is a worker as the roster may tell of it by now.
-type membership struct {
+// rosterEntry is a worker as the roster reports it now, after its lag.
+type rosterEntry struct {
 	socket, zone, cell, kind, state string
 	life                            int64
 	started                         router.Time
 	cold                            bool
 }
 
-// BeginTurn implements turn.Machine.
+// BeginTurn implements eventloop.Handler.
 func (r *roster) BeginTurn(router.Time) {}
 
-// EndTurn implements turn.Machine.
+// EndTurn implements eventloop.Handler.
 func (r *roster) EndTurn() { r.timers.Fire(r.loop.Now()) }
 
-// NextDue implements turn.Machine.
+// NextDue implements eventloop.Handler.
 func (r *roster) NextDue() (router.Time, bool) { return r.timers.NextDue() }
 
-// Roster runs a stand-in roster until the context ends, with a stand-in store where its settings have one.
-func Roster(ctx context.Context, set *settings.Roster, log zerolog.Logger, ready func()) error {
-	rec, err := record.Open(set.Log)
+// Roster runs a stand-in roster until the context ends, and a stand-in store if its settings have one.
+func Roster(ctx context.Context, cfg *settings.Roster, log zerolog.Logger, ready func()) error {
+	records, err := record.Open(cfg.Log)
 	if err != nil {
 		return err
 	}
-	defer rec.Close()
-	l, err := clients.Listen(set.Socket, 0o600)
+	defer records.Close()
+	l, err := clients.Listen(cfg.Socket, 0o600)
 	if err != nil {
 		return err
 	}
-	r := &roster{set: set, log: log, rec: rec, loop: eventloop.NewLoop(), members: map[string]*membership{},
+	r := &roster{cfg: cfg, log: log, records: records, loop: eventloop.NewLoop(), entries: map[string]*rosterEntry{},
 		watchers: map[*rosterConn]bool{}}
 	var group errgroup.Group
-	if set.Store != nil {
-		sl, err := clients.Listen(set.Store.Socket, 0o600)
+	if cfg.Store != nil {
+		sl, err := clients.Listen(cfg.Store.Socket, 0o600)
 		if err != nil {
 			l.Close()
 			return err
 		}
-		group.Go(func() error { return serveStore(ctx, set.Store, sl) })
+		group.Go(func() error { return serveStore(ctx, cfg.Store, sl) })
 	}
 	group.Go(func() error { r.loop.Run(ctx, r); return nil })
 	group.Go(func() error {
 		return accept(ctx, l, func(ctx context.Context, nc net.Conn) {
-			c := &rosterConn{r: r, server: server{c: jsonrpc.NewConn(nc, valueLimit)}}
-			_ = c.c.Serve(ctx, c)
-			r.loop.Post(c.gone)
+			c := &rosterConn{r: r, requestHandler: requestHandler{conn: jsonrpc.NewConn(nc, maxValueBytes)}}
+			_ = c.conn.Serve(ctx, c)
+			r.loop.Post(c.disconnected)
 		})
 	})
-	log.Info().Str("socket", set.Socket).Msg("roster runs")
+	log.Info().Str("socket", cfg.Socket).Msg("roster started")
 	if ready != nil {
 		ready()
 	}
@@ -91,10 +91,10 @@
 }
 
 type rosterConn struct {
-	server
+	requestHandler
 	r        *roster
-	frontEnd string   // a watcher's name
-	workers  []string // that joined here
+	frontEnd string   // the name of the front end, if it watches
+	workers  []string // that joined on this connection
 }
 
 // HandleRequest implements jsonrpc.Peer.
@@ -105,79 +105,79 @@
 		c.r.loop.Post(func() {
 			c.frontEnd = member(params, "front_end")
 			c.r.watchers[c] = true
-			c.r.tell(c, true, c.r.order)
+			c.r.send(c, true, c.r.order)
 		})
 	case "roster.join":
 		name, state := member(params, "name"), member(params, "state")
-		now, unix := c.r.loop.Now(), time.Now().UnixMilli()
+		now, unixMS := c.r.loop.Now(), time.Now().UnixMilli()
 		cold := jsontext.Value(jsonrpc.Member(params, "cold")).Kind() == 't'
 		c.r.loop.Post(func() {
 			if !slices.Contains(c.workers, name) {
 				c.workers = append(c.workers, name)
 			}
-			c.r.after(func() {
-				m := c.r.members[name]
+			c.r.afterLag(func() {
+				m := c.r.entries[name]
 				if m == nil {
-					m = &membership{}
-					c.r.members[name], c.r.order = m, append(c.r.order, name)
+					m = &rosterEntry{}
+					c.r.entries[name], c.r.order = m, append(c.r.order, name)
 				}
 				if state == "ready" {
-					m.life, m.started, m.cold = unix, now, cold
+					m.life, m.started, m.cold = unixMS, now, cold
 				}
 				m.socket, m.zone, m.cell = member(params, "socket"), member(params, "zone"), member(params, "cell")
 				m.kind, m.state = member(params, "kind"), state
-				c.r.changed(name)
+				c.r.broadcast(name)
 			})
 		})
 	}
 }
 
-// after does something once the roster's lag is over.
-func (r *roster) after(f func()) {
-	r.timers.Set(new(eventloop.Timer), r.loop.Now()+r.set.Lag, func(router.Time) { f() })
+// afterLag calls f after the lag that the settings say.
+func (r *roster) afterLag(f func()) {
+	r.timers.Set(new(eventloop.Timer), r.loop.Now()+r.cfg.Lag, func(router.Time) { f() })
 }
 
-// gone: the connection has ended, and with it the processes that joined on it.
-func (c *rosterConn) gone() {
+// disconnected handles the end of a connection: the workers that joined on it are removed.
+func (c *rosterConn) disconnected() {
 	delete(c.r.watchers, c)
 	ended := c.r.loop.Now()
 	for _, name := range c.workers {
-		c.r.after(func() {
-			if m := c.r.members[name]; m != nil && m.started < ended { // else a new life has begun
+		c.r.afterLag(func() {
+			if m := c.r.entries[name]; m != nil && m.started < ended { // otherwise the worker has been started again
 				m.state = "gone"
-				c.r.changed(name)
+				c.r.broadcast(name)
 			}
 		})
 	}
 }
 
-func (r *roster) changed(name string) {
+func (r *roster) broadcast(name string) {
 	r.version++
 	for c := range r.watchers {
-		r.tell(c, false, []string{name})
+		r.send(c, false, []string{name})
 	}
 }
 
-// tell sends a list or changes to one front end, and notes what was told.
-func (r *roster) tell(c *rosterConn, whole bool, names []string) {
+// send sends the full worker list or changes to one front end, and records the states that it sent.
+func (r *roster) send(c *rosterConn, full bool, names []string) {
 	b := strconv.AppendUint([]byte(`{"version":`), r.version, 10)
-	b = append(strconv.AppendBool(append(b, `,"whole":`...), whole), `,"workers":[`...)
-	now, some := r.loop.Now(), false
+	b = append(strconv.AppendBool(append(b, `,"whole":`...), full), `,"workers":[`...)
+	now, sentAny := r.loop.Now(), false
 	for _, name := range names {
-		m := r.members[name]
-		if whole && m.state == "gone" {
+		m := r.entries[name]
+		if full && m.state == "gone" {
 			continue
 		}
-		if some {
+		if sentAny {
 			b = append(b, ',')
 		}
-		some = true
+		sentAny = true
 		b = jsonrpc.AppendString(append(b, `{"name":`...), name)
 		for _, f := range [][2]string{{"socket", m.socket}, {"state", m.state}, {"zone", m.zone}, {"cell", m.cell},
 			{"kind", m.kind}} {
 			b = jsonrpc.AppendString(append(jsonrpc.AppendString(append(b, ','), f[0]), ':'), f[1])
 		}
-		age := -1.0 // it was warm when it came: long ago
+		age := -1.0 // a worker that was warm when it joined started long ago
 		if m.cold {
 			age = float64(now-m.started) / 10
 		}
@@ -185,65 +185,65 @@
 		b = append(strconv.AppendFloat(append(b, `,"age_ms":`...), age, 'f', 1, 64), '}')
 	}
 	value := jsonrpc.AppendRequest(nil, nil, "roster.list", append(b, "]}"...))
-	told := time.Now().UnixNano()
-	c.c.Write(value)
+	sentAt := time.Now().UnixNano()
+	c.conn.Write(value)
 	for _, name := range names {
-		if m := r.members[name]; !whole || m.state != "gone" {
-			if err := r.rec.Add(record.Record{T: told, Kind: record.Told, Who: "roster", FrontEnd: c.frontEnd,
+		if m := r.entries[name]; !full || m.state != "gone" {
+			if err := r.records.Add(record.Record{T: sentAt, Kind: record.Told, Who: "roster", FrontEnd: c.frontEnd,
 				Worker: name, State: m.state}); err != nil {
-				r.log.Error().Err(err).Msg("log")
+				r.log.Error().Err(err).Msg("cannot write the record log")
 			}
 		}
 	}
 }
 
-// Shelf is the shared store without I/O: it serves fetches, so many at full pace, more of them slower, and beyond a limit
-// none, and keeps the groups' memory of tokens. It belongs to one goroutine.
-type Shelf struct {
-	set    *settings.Store
-	timers *eventloop.Timers
-	inHand int
-	tokens map[string]router.Time // until when
-	swept  router.Time
+// StoreModel is the model of the shared store, without I/O. It serves up to a number of fetches at full speed, more of
+// them slower, and refuses those beyond a limit. It also keeps the tokens of all groups. It belongs to one goroutine.
+type StoreModel struct {
+	cfg       *settings.Store
+	timers    *eventloop.Timers
+	active    int                    // fetches
+	tokens    map[string]router.Time // when each expires
+	lastSweep router.Time
 }
 
-// NewShelf makes an empty one.
-func NewShelf(set *settings.Store, timers *eventloop.Timers) *Shelf {
-	return &Shelf{set: set, timers: timers, tokens: map[string]router.Time{}}
+// NewStoreModel returns a store without tokens.
+func NewStoreModel(cfg *settings.Store, timers *eventloop.Timers) *StoreModel {
+	return &StoreModel{cfg: cfg, timers: timers, tokens: map[string]router.Time{}}
 }
 
-// store serves a Shelf on sockets.
+// store serves a StoreModel on a socket.
 type store struct {
-	*Shelf
+	*StoreModel
 	loop   *eventloop.Loop
 	timers eventloop.Timers
 }
 
-// BeginTurn implements turn.Machine.
+// BeginTurn implements eventloop.Handler.
 func (s *store) BeginTurn(router.Time) {}
 
-// EndTurn implements turn.Machine.
+// EndTurn implements eventloop.Handler.
 func (s *store) EndTurn() { s.timers.Fire(s.loop.Now()) }
 
-// NextDue implements turn.Machine.
+// NextDue implements eventloop.Handler.
 func (s *store) NextDue() (router.Time, bool) { return s.timers.NextDue() }
 
-func serveStore(ctx context.Context, set *settings.Store, l net.Listener) error {
+func serveStore(ctx context.Context, cfg *settings.Store, l net.Listener) error {
 	s := &store{loop: eventloop.NewLoop()}
-	s.Shelf = NewShelf(set, &s.timers)
+	s.StoreModel = NewStoreModel(cfg, &s.timers)
 	var group errgroup.Group
 	group.Go(func() error { s.loop.Run(ctx, s); return nil })
 	group.Go(func() error {
 		return accept(ctx, l, func(ctx context.Context, nc net.Conn) {
-			c := &storeConn{s: s, server: server{c: jsonrpc.NewConn(nc, valueLimit)}}
-			_ = c.c.Serve(ctx, c)
+			c := &storeConn{s: s, requestHandler: requestHandler{conn: jsonrpc.NewConn(nc, maxValueBytes)}}
+			_ = c.conn.Serve(ctx, c)
 		})
 	})
 	return group.Wait()
 }
 
 type storeConn struct {
-	server
+	requestHandler
 	s *store
 }
 
@@ -258,40 +258,40 @@
 		case "store.fetch":
 			c.s.Fetch(c.s.loop.Now(), router.Time(usual*10), func(ok bool) {
 				if ok {
-					c.c.Write(jsonrpc.AppendResult(nil, key, []byte("true")))
+					c.conn.Write(jsonrpc.AppendResult(nil, key, []byte("true")))
 					return
 				}
-				c.c.Write(jsonrpc.AppendError(nil, key, full, "turned away", nil))
+				c.conn.Write(jsonrpc.AppendError(nil, key, codeFull, "turned away", nil))
 			})
 		case "token.claim":
-			first := c.s.Claim(c.s.loop.Now(), token, router.Time(window*10))
-			c.c.Write(jsonrpc.AppendResult(nil, key, strconv.AppendBool(nil, first)))
+			first := c.s.ClaimToken(c.s.loop.Now(), token, router.Time(window*10))
+			c.conn.Write(jsonrpc.AppendResult(nil, key, strconv.AppendBool(nil, first)))
 		default:
-			c.c.Write(jsonrpc.AppendError(nil, key, jsonrpc.MethodNotFound, "no such method", nil))
+			c.conn.Write(jsonrpc.AppendError(nil, key, jsonrpc.MethodNotFound, "no such method", nil))
 		}
 	})
 }
 
-// Fetch takes the usual time, longer by its crowd: past at-once fetches the store's pace is shared, and thrash takes
-// a further part of it for each of them.
-func (s *Shelf) Fetch(now, usual router.Time, done func(ok bool)) {
-	if s.inHand >= s.set.Refuses {
+// Fetch takes the usual time at least. While there are more than at-once fetches, they share the store's speed, and the
+// thrash setting slows them further the more there are.
+func (s *StoreModel) Fetch(now, usual router.Time, done func(ok bool)) {
+	if s.active >= s.cfg.Refuses {
 		done(false)
 		return
 	}
-	s.inHand++
-	crowd := math.Max(1, float64(s.inHand)/float64(s.set.AtOnce))
-	took := float64(max(usual, s.set.Mean)) * crowd * (1 + s.set.Thrash*(crowd-1))
-	s.timers.Set(new(eventloop.Timer), now+router.Time(took), func(router.Time) {
-		s.inHand--
+	s.active++
+	overload := math.Max(1, float64(s.active)/float64(s.cfg.AtOnce))
+	duration := float64(max(usual, s.cfg.Mean)) * overload * (1 + s.cfg.Thrash*(overload-1))
+	s.timers.Set(new(eventloop.Timer), now+router.Time(duration), func(router.Time) {
+		s.active--
 		done(true)
 	})
 }
 
-// Claim remembers a token for its window; first: it was not remembered.
-func (s *Shelf) Claim(now router.Time, token string, window router.Time) bool {
-	if now-s.swept > 10000 {
-		s.swept = now
+// ClaimToken stores a token for its window; it returns false if the token was stored already.
+func (s *StoreModel) ClaimToken(now router.Time, token string, window router.Time) bool {
+	if now-s.lastSweep > 10000 {
+		s.lastSweep = now
 		for t, until := range s.tokens {
 			if until <= now {
 				delete(s.tokens, t)
