--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -58,17 +58,17 @@
 // Check audits records of any order. Each try of a client is an RPC of its own, marked "root/try".
 func Check(f Figures, records []record.Record) Result {
 	a := &auditor{f: f, records: slices.Clone(records), stops: map[string][][2]int64{}, kills: map[string][]int64{}}
-	slices.SortStableFunc(a.records, func(x, y record.Record) int { return cmp.Compare(x.T, y.T) })
+	slices.SortStableFunc(a.records, func(x, y record.Record) int { return cmp.Compare(x.UnixNS, y.UnixNS) })
 	for _, r := range a.records {
 		switch r.Kind {
-		case record.Stopped:
-			a.stops[r.FrontEnd] = append(a.stops[r.FrontEnd], [2]int64{r.T, 1 << 62})
-		case record.Resumed:
+		case record.ProcessPaused:
+			a.stops[r.FrontEnd] = append(a.stops[r.FrontEnd], [2]int64{r.UnixNS, 1 << 62})
+		case record.ProcessResumed:
 			if s := a.stops[r.FrontEnd]; len(s) > 0 {
-				s[len(s)-1][1] = r.T
+				s[len(s)-1][1] = r.UnixNS
 			}
-		case record.Killed:
-			a.kills[r.FrontEnd] = append(a.kills[r.FrontEnd], r.T)
+		case record.ProcessEnded:
+			a.kills[r.FrontEnd] = append(a.kills[r.FrontEnd], r.UnixNS)
 		}
 	}
 	a.answers()
@@ -108,52 +108,52 @@
 	seen := map[string]bool{}
 	var order []string
 	for _, r := range a.records {
-		if r.Kind == record.Request {
+		if r.Kind == record.RequestReceived {
 			seen[r.RPC] = true
 		}
 	}
 	for _, r := range a.records {
 		p := open[r.RPC]
 		switch r.Kind {
-		case record.Sent:
+		case record.RPCSent:
 			a.out.RPCs++
 			open[r.RPC] = &rpc{sent: r}
 			order = append(order, r.RPC)
-		case record.Answer:
+		case record.RPCAnswered:
 			a.out.Answers++
 			if p == nil {
-				a.broken(1, r.RPC, r.T, "an answer to what was not sent")
+				a.broken(1, r.RPC, r.UnixNS, "an answer to what was not sent")
 				continue
 			}
 			if p.answers++; p.answers > 1 {
-				a.broken(1, r.RPC, r.T, "answer %d of one RPC: %s", p.answers, r.Outcome)
+				a.broken(1, r.RPC, r.UnixNS, "answer %d of one RPC: %s", p.answers, r.Outcome)
 			}
-			due := p.sent.T + int64(p.sent.Time*float64(ms)) + a.slack() + a.stood(p.sent.FrontEnd, p.sent.T, r.T)
-			if r.T > due {
-				a.broken(1, r.RPC, r.T, "%s from %s %.0f ms after its client's time was up", r.Outcome, p.sent.FrontEnd,
-					float64(r.T-due+a.slack())/float64(ms))
+			due := p.sent.UnixNS + int64(p.sent.DurationMS*float64(ms)) + a.slack() + a.stood(p.sent.FrontEnd, p.sent.UnixNS, r.UnixNS)
+			if r.UnixNS > due {
+				a.broken(1, r.RPC, r.UnixNS, "%s from %s %.0f ms after its client's time was up", r.Outcome, p.sent.FrontEnd,
+					float64(r.UnixNS-due+a.slack())/float64(ms))
 			}
-		case record.Quit:
+		case record.ClientLeft:
 			if p != nil {
 				p.over = true
 			}
-		case record.Lost:
+		case record.ConnectionLost:
 			if p == nil {
 				continue
 			}
 			p.over = true
 			// what a killed front end held is no longer its duty; what was sent as it left may not have been taken
 			died := slices.ContainsFunc(a.kills[r.FrontEnd], func(t int64) bool {
-				return t >= p.sent.T-a.slack() && t <= r.T+a.slack()
+				return t >= p.sent.UnixNS-a.slack() && t <= r.UnixNS+a.slack()
 			})
-			if !died && (seen[r.RPC] || r.T > p.sent.T+a.slack()) {
-				a.broken(1, r.RPC, r.T, "%s lived and closed the connection without an answer", r.FrontEnd)
+			if !died && (seen[r.RPC] || r.UnixNS > p.sent.UnixNS+a.slack()) {
+				a.broken(1, r.RPC, r.UnixNS, "%s lived and closed the connection without an answer", r.FrontEnd)
 			}
 		}
 	}
 	for _, mark := range order {
 		if p := open[mark]; p.answers == 0 && !p.over {
-			a.broken(1, mark, p.sent.T, "%s never answered", p.sent.FrontEnd)
+			a.broken(1, mark, p.sent.UnixNS, "%s never answered", p.sent.FrontEnd)
 		}
 	}
 }
@@ -182,37 +182,37 @@
 	for _, r := range a.records {
 		m := a.f.Methods[r.Method]
 		switch r.Kind {
-		case record.Began:
-			places[r.Who] = where{r.Zone, r.Cell}
-		case record.Request:
+		case record.WorkerStarted:
+			places[r.Source] = where{r.Zone, r.Cell}
+		case record.RequestReceived:
 			a.out.CallOuts++
 			if r.RPC == "" {
 				continue
 			}
-			p := places[r.Who]
+			p := places[r.Source]
 			now := &callOut{Record: r, zone: p.zone, cell: p.cell}
 			for _, c := range calls[r.RPC] {
 				if c.never || m.Effect == router.Idempotent {
 					continue
 				}
 				if m.Effect == router.SideEffecting {
-					a.broken(2, r.RPC, r.T, "%s sent it to %s though it may have run at %s", r.FrontEnd, r.Who, c.Who)
+					a.broken(2, r.RPC, r.UnixNS, "%s sent it to %s though it may have run at %s", r.FrontEnd, r.Source, c.Source)
 					break
 				}
 				inside := m.Group == "all" || m.Group == "zone" && c.zone == now.zone ||
 					m.Group == "cell" && c.cell == now.cell
-				if late := r.T - c.T - int64(m.Window*float64(ms)) - a.slack(); !inside || late > 0 {
-					a.broken(2, r.RPC, r.T, "%s sent it to %s, outside the group or the window of %s, where it may have run",
-						r.FrontEnd, r.Who, c.Who)
+				if late := r.UnixNS - c.UnixNS - int64(m.Window*float64(ms)) - a.slack(); !inside || late > 0 {
+					a.broken(2, r.RPC, r.UnixNS, "%s sent it to %s, outside the group or the window of %s, where it may have run",
+						r.FrontEnd, r.Source, c.Source)
 					break
 				}
 			}
 			calls[r.RPC] = append(calls[r.RPC], now)
-		case record.Ended:
+		case record.RequestEnded:
 			for _, c := range calls[r.RPC] {
-				c.never = c.never || c.Who == r.Who && proves(r.N)
+				c.never = c.never || c.Source == r.Source && proves(r.N)
 			}
-		case record.Effect:
+		case record.EffectApplied:
 			a.out.Effects++
 			if r.RPC == "" {
 				continue
@@ -220,28 +220,28 @@
 			ran[r.RPC]++
 			roots[root(r.RPC)]++
 			if m.Effect == router.SideEffecting && roots[root(r.RPC)] > 1 {
-				a.broken(2, r.RPC, r.T, "effect %d of one side-effecting RPC, at %s", roots[root(r.RPC)], r.Who)
+				a.broken(2, r.RPC, r.UnixNS, "effect %d of one side-effecting RPC, at %s", roots[root(r.RPC)], r.Source)
 			}
 			if m.Effect == router.Tokened {
 				last, before := tokens[r.Token]
-				if before && m.Group == "all" && r.T-last <= int64(m.Window*float64(ms))-a.slack() {
-					a.broken(2, r.RPC, r.T, "token %s took effect again within its window, at %s", r.Token, r.Who)
+				if before && m.Group == "all" && r.UnixNS-last <= int64(m.Window*float64(ms))-a.slack() {
+					a.broken(2, r.RPC, r.UnixNS, "token %s took effect again within its window, at %s", r.Token, r.Source)
 				}
-				tokens[r.Token] = r.T
+				tokens[r.Token] = r.UnixNS
 			}
 		}
 	}
 	// a denial says that a retry is harmless, whatever happens later
 	methods := map[string]string{}
 	for _, r := range a.records {
-		if r.Kind == record.Sent {
+		if r.Kind == record.RPCSent {
 			methods[r.RPC] = r.Method
 		}
-		if r.Kind != record.Answer || r.Outcome != "denied" || ran[r.RPC] == 0 {
+		if r.Kind != record.RPCAnswered || r.Outcome != "denied" || ran[r.RPC] == 0 {
 			continue
 		}
 		if m := a.f.Methods[methods[r.RPC]]; m.Effect == router.SideEffecting || m.Effect == router.Tokened && m.Group != "all" {
-			a.broken(2, r.RPC, r.T, "denied, though its effect happened")
+			a.broken(2, r.RPC, r.UnixNS, "denied, though its effect happened")
 		}
 	}
 }
@@ -252,29 +252,29 @@
 	told := map[way]int64{} // when it was told draining or gone; absent: it is told ready
 	for _, r := range a.records {
 		switch r.Kind {
-		case record.Told:
+		case record.StateSent:
 			w := way{r.FrontEnd, r.Worker}
 			if r.State == "ready" {
 				delete(told, w)
 			} else if _, before := told[w]; !before {
-				told[w] = r.T
+				told[w] = r.UnixNS
 			}
-		case record.Request, record.Hold:
-			if r.Kind == record.Hold {
+		case record.RequestReceived, record.LoadOrdered:
+			if r.Kind == record.LoadOrdered {
 				a.out.Orders++
 			}
-			t, is := told[way{r.FrontEnd, r.Who}]
+			t, is := told[way{r.FrontEnd, r.Source}]
 			if !is {
 				continue
 			}
 			// one that stood still was told when it went on
-			late := r.T - t - int64(a.f.Drain*float64(ms)) - a.slack() - a.stood(r.FrontEnd, t, r.T)
+			late := r.UnixNS - t - int64(a.f.Drain*float64(ms)) - a.slack() - a.stood(r.FrontEnd, t, r.UnixNS)
 			if late > 0 {
 				what := r.RPC
-				if r.Kind == record.Hold {
+				if r.Kind == record.LoadOrdered {
 					what = "a load order for " + r.Function
 				}
-				a.broken(3, r.Who, r.T, "%s sent it %s, %.0f ms after the grace was over", r.FrontEnd, what,
+				a.broken(3, r.Source, r.UnixNS, "%s sent it %s, %.0f ms after the grace was over", r.FrontEnd, what,
 					float64(late)/float64(ms))
 			}
 		}
@@ -299,35 +299,35 @@
 	window := int64(a.f.Fall * float64(ms))
 	for _, r := range a.records {
 		switch r.Kind {
-		case record.Began:
-			lives[r.Who] = &life{began: r}
-			told[r.Who] = map[string]bool{}
-		case record.Told:
+		case record.WorkerStarted:
+			lives[r.Source] = &life{began: r}
+			told[r.Source] = map[string]bool{}
+		case record.StateSent:
 			if t := told[r.Worker]; t != nil && r.State == "ready" {
 				t[r.FrontEnd] = true
 			}
-		case record.Fell:
-			if l := lives[r.Who]; l != nil && !l.broken {
-				a.broken(4, r.Who, r.T, "it fell: sent %.0f ms of work, could do %.0f", r.Cost, r.Time)
+		case record.WorkerOverloaded:
+			if l := lives[r.Source]; l != nil && !l.broken {
+				a.broken(4, r.Source, r.UnixNS, "it fell: sent %.0f ms of work, could do %.0f", r.WorkMS, r.DurationMS)
 				l.broken = true
 			}
-		case record.Request:
-			l := lives[r.Who]
-			if l == nil || l.began.Cold == 0 || r.T-l.began.T > int64(l.began.Cold*float64(ms)) {
+		case record.RequestReceived:
+			l := lives[r.Source]
+			if l == nil || l.began.ColdMS == 0 || r.UnixNS-l.began.UnixNS > int64(l.began.ColdMS*float64(ms)) {
 				continue
 			}
-			l.pushes = append(l.pushes, push{r.T, r.Cost, told[r.Who][r.FrontEnd]})
-			l.pushes = slices.DeleteFunc(l.pushes, func(p push) bool { return p.t < r.T-window })
+			l.pushes = append(l.pushes, push{r.UnixNS, r.WorkMS, told[r.Source][r.FrontEnd]})
+			l.pushes = slices.DeleteFunc(l.pushes, func(p push) bool { return p.t < r.UnixNS-window })
 			sum, known := 0.0, 0.0
 			for _, p := range l.pushes {
 				if sum += p.cost; p.told {
 					known += p.cost
 				}
 			}
-			age := float64(r.T-l.began.T) / float64(ms) / l.began.Cold
-			could := a.f.FallMultiple * (l.began.From + (1-l.began.From)*age) * l.began.Cores * a.f.Fall
-			if sum > could+3*r.Cost && known >= sum*2/3 && !l.broken {
-				a.broken(4, r.Who, r.T, "sent %.0f ms of work within %.0f ms, could do %.0f", sum, a.f.Fall, could)
+			age := float64(r.UnixNS-l.began.UnixNS) / float64(ms) / l.began.ColdMS
+			could := a.f.FallMultiple * (l.began.ColdFrom + (1-l.began.ColdFrom)*age) * l.began.Cores * a.f.Fall
+			if sum > could+3*r.WorkMS && known >= sum*2/3 && !l.broken {
+				a.broken(4, r.Source, r.UnixNS, "sent %.0f ms of work within %.0f ms, could do %.0f", sum, a.f.Fall, could)
 				l.broken = true
 			}
 		}
@@ -344,17 +344,17 @@
 	orders, taken := map[string][]int64{}, map[string][]int64{}
 	for _, r := range a.records {
 		switch r.Kind {
-		case record.Sent:
-			taken[r.FrontEnd] = append(taken[r.FrontEnd], r.T)
-		case record.Hold:
+		case record.RPCSent:
+			taken[r.FrontEnd] = append(taken[r.FrontEnd], r.UnixNS)
+		case record.LoadOrdered:
 			since := func(times []int64, from int64) []int64 {
 				return slices.DeleteFunc(times, func(t int64) bool { return t < from })
 			}
 			f := r.FrontEnd
-			orders[f] = since(append(orders[f], r.T), r.T-window+a.slack())
-			taken[f] = since(taken[f], r.T-window-a.slack()-a.stood(f, r.T-2*window, r.T))
+			orders[f] = since(append(orders[f], r.UnixNS), r.UnixNS-window+a.slack())
+			taken[f] = since(taken[f], r.UnixNS-window-a.slack()-a.stood(f, r.UnixNS-2*window, r.UnixNS))
 			if most := a.f.LoadFree + a.f.LoadShare*float64(len(taken[f])); float64(len(orders[f])) > most {
-				a.broken(5, r.Who, r.T, "load order %d of %s within %.0f ms, %.1f allowed", len(orders[f]), f, a.f.LoadWindow,
+				a.broken(5, r.Source, r.UnixNS, "load order %d of %s within %.0f ms, %.1f allowed", len(orders[f]), f, a.f.LoadWindow,
 					most)
 			}
 		}
@@ -371,22 +371,22 @@
 func Waste(records []record.Record, margin float64) (w Wasted) {
 	quit := map[string]int64{}
 	for _, r := range records {
-		if r.Kind == record.Quit {
+		if r.Kind == record.ClientLeft {
 			w.Quits++
-			quit[r.RPC] = r.T + int64(margin*float64(ms))
+			quit[r.RPC] = r.UnixNS + int64(margin*float64(ms))
 		}
 	}
 	for _, r := range records {
-		if r.Kind != record.Worked {
+		if r.Kind != record.WorkDone {
 			continue
 		}
-		w.All += r.Time
+		w.All += r.DurationMS
 		from, left := quit[r.RPC]
-		if past := float64(r.T-from) / float64(ms); left && past > 0 {
-			w.Went += min(past, r.Time)
-			if past >= r.Time {
+		if past := float64(r.UnixNS-from) / float64(ms); left && past > 0 {
+			w.Went += min(past, r.DurationMS)
+			if past >= r.DurationMS {
 				w.Late++
-				w.Begun += r.Time
+				w.Begun += r.DurationMS
 			}
 		}
 	}
--- a/internal/emulate/client.go
+++ b/internal/emulate/client.go
@@ -61,7 +61,7 @@
 		w.after(w.delay(), func() { t.ends(scenario.Lost, false, 0) })
 		return
 	}
-	t.keep(record.Sent, "")
+	t.keep(record.RPCSent, "")
 	p := dispatch.Params{Method: f.methods[c.Method.Name], Function: c.a.Function, Customer: c.a.Mix.Customer, TimeoutMS: t.ms,
 		Payload: []byte(t.mark), Repeat: repeat}
 	if c.Method.Effect == router.Tokened {
@@ -87,7 +87,7 @@
 	}
 	w := t.c.w
 	t.left = true
-	t.keep(record.Quit, "")
+	t.keep(record.ClientLeft, "")
 	if closes { // no answer can come any more
 		delete(t.f.open, t)
 	}
@@ -106,8 +106,8 @@
 
 func (t *attempt) keep(kind, outcome string) {
 	m := t.c.Method
-	t.c.w.keep(record.Record{Who: "client", FrontEnd: t.f.name(), RPC: t.mark, Method: m.Name, Function: t.c.a.Function,
-		Token: t.c.Token, Time: t.ms, Kind: kind, Outcome: outcome})
+	t.c.w.keep(record.Record{Source: "client", FrontEnd: t.f.name(), RPC: t.mark, Method: m.Name, Function: t.c.a.Function,
+		Token: t.c.Token, DurationMS: t.ms, Kind: kind, Outcome: outcome})
 }
 
 // answered: the front end has said something; it reaches the client after a delay, wanted or not.
@@ -118,7 +118,7 @@
 			return
 		}
 		delete(t.f.open, t)
-		t.keep(record.Answer, outcome)
+		t.keep(record.RPCAnswered, outcome)
 		t.ends(outcome, true, eventloop.ToDuration(comeBack))
 	})
 }
@@ -126,7 +126,7 @@
 // broke: the front end died with it open.
 func (t *attempt) broke() {
 	if !t.left {
-		t.keep(record.Lost, "")
+		t.keep(record.ConnectionLost, "")
 	}
 	t.ends(scenario.Lost, true, 0)
 }
--- a/internal/emulate/emulate_test.go
+++ b/internal/emulate/emulate_test.go
@@ -180,7 +180,7 @@
 	}
 	arrivals, quits, n := scenario.NewArrivals(s), map[string]bool{}, 0
 	for _, x := range r.Records {
-		if x.Kind == record.Quit {
+		if x.Kind == record.ClientLeft {
 			mark, _, _ := strings.Cut(x.RPC, "/")
 			quits[mark] = true
 		}
--- a/internal/emulate/front.go
+++ b/internal/emulate/front.go
@@ -65,7 +65,7 @@
 	}
 	f.desk = dispatch.New(f.e, dispatch.Options{Methods: methods, Customers: w.s.Service.CustomerNames(), FunctionSpec: w.s.Service.FunctionFor(),
 		AnswerMargin: own.Margin, Limits: f.set.LimitSettings()})
-	w.keep(record.Record{Kind: record.Restarts, Who: "world", FrontEnd: f.name()})
+	w.keep(record.Record{Kind: record.ProcessStarted, Source: "world", FrontEnd: f.name()})
 	life := f.life
 	w.after(w.delay(), func() {
 		if f.life == life && f.alive {
@@ -92,7 +92,7 @@
 // die ends a life without a word: clients' and workers' connections break.
 func (f *frontEnd) die() {
 	w := f.w
-	w.keep(record.Record{Kind: record.Killed, Who: "world", FrontEnd: f.name()})
+	w.keep(record.Record{Kind: record.ProcessEnded, Source: "world", FrontEnd: f.name()})
 	f.alive, f.diedAt = false, w.now
 	f.life++
 	w.events.Stop(&f.wake)
@@ -163,13 +163,13 @@
 		return
 	}
 	f.stalled = true
-	w.keep(record.Record{Kind: record.Stopped, Who: "world", FrontEnd: f.name()})
+	w.keep(record.Record{Kind: record.ProcessPaused, Source: "world", FrontEnd: f.name()})
 	w.after(span, func() {
 		if f.life != life {
 			return
 		}
 		f.stalled = false
-		w.keep(record.Record{Kind: record.Resumed, Who: "world", FrontEnd: f.name()})
+		w.keep(record.Record{Kind: record.ProcessResumed, Source: "world", FrontEnd: f.name()})
 		events := f.inbox
 		f.inbox = nil
 		f.turn(events...)
@@ -190,7 +190,7 @@
 	for _, name := range names {
 		if m := w.members[name]; form != router.ListComplete || m.state != router.Gone {
 			entries = append(entries, entry{name, *m})
-			w.keep(record.Record{Kind: record.Told, Who: "roster", FrontEnd: f.name(), Worker: name,
+			w.keep(record.Record{Kind: record.StateSent, Source: "roster", FrontEnd: f.name(), Worker: name,
 				State: map[router.Readiness]string{router.Gone: "gone", router.Ready: "ready", router.Draining: "draining"}[m.state]})
 		}
 	}
@@ -346,16 +346,16 @@
 		Memory: p.Spec.MemoryMB, Lanes: p.Spec.Lanes, LoadTime: p.Spec.LoadTime}
 	l.there(func(x *worker) {
 		fl.job = j
-		r := record.Record{Kind: record.Request, Who: x.set.Name, FrontEnd: name, RPC: j.Mark, Method: j.Method, Function: j.Function,
+		r := record.Record{Kind: record.RequestReceived, Source: x.set.Name, FrontEnd: name, RPC: j.Mark, Method: j.Method, Function: j.Function,
 			Token: j.Token}
 		for i := range x.set.Work {
 			if x.set.Work[i].Method == j.Method {
-				r.Cost = float64(x.set.Work[i].Mean) / 10
+				r.WorkMS = float64(x.set.Work[i].Mean) / 10
 			}
 		}
 		w.keep(r)
 		j.Done = func(a standin.Response) {
-			w.keep(record.Record{Kind: record.Ended, Who: x.set.Name, FrontEnd: name, RPC: j.Mark, N: a.Code})
+			w.keep(record.Record{Kind: record.RequestEnded, Source: x.set.Name, FrontEnd: name, RPC: j.Mark, N: a.Code})
 			report := append([]float64(nil), x.model.Report()...)
 			l.back(x, func() {
 				if _, out := l.out[id]; !out {
@@ -399,7 +399,7 @@
 	l.orders = append(l.orders, id)
 	l.there(func(x *worker) {
 		if copies > 0 {
-			w.keep(record.Record{Kind: record.Hold, Who: x.set.Name, FrontEnd: name, Function: function, N: copies})
+			w.keep(record.Record{Kind: record.LoadOrdered, Source: x.set.Name, FrontEnd: name, Function: function, N: copies})
 		}
 		x.model.OrderLoad(orderAt{l, id}, function, copies, fn.MemoryMB, fn.Lanes, fn.LoadTime, func(code, stand int) {
 			l.back(x, func() {
--- a/internal/emulate/worker.go
+++ b/internal/emulate/worker.go
@@ -41,7 +41,7 @@
 	if set.Cold {
 		cold, started = float64(set.Rules.Cold)/10, w.now
 	}
-	w.keep(record.Record{Kind: record.Began, Who: set.Name, Zone: set.Zone, Cell: set.Cell, Cold: cold, From: set.Rules.ColdFrom,
+	w.keep(record.Record{Kind: record.WorkerStarted, Source: set.Name, Zone: set.Zone, Cell: set.Cell, ColdMS: cold, ColdFrom: set.Rules.ColdFrom,
 		Cores: float64(set.Machine.Cores) * set.Machine.Speed})
 	x.lookAgain()
 	w.change(set.Name, func(m *member) { m.w, m.state, m.started = x, router.Ready, started })
@@ -132,21 +132,21 @@
 
 // RecordWork implements standin.World.
 func (x *worker) RecordWork(j *standin.Job, span router.Time) {
-	x.w.keep(record.Record{Kind: record.Worked, Who: x.set.Name, RPC: j.Mark, Time: float64(span) / 10})
+	x.w.keep(record.Record{Kind: record.WorkDone, Source: x.set.Name, RPC: j.Mark, DurationMS: float64(span) / 10})
 }
 
 // RecordEffect implements standin.World.
 func (x *worker) RecordEffect(j *standin.Job, dropped bool) {
-	kind := record.Effect
+	kind := record.EffectApplied
 	if dropped {
-		kind = record.Dropped
+		kind = record.EffectDropped
 	}
-	x.w.keep(record.Record{Kind: kind, Who: x.set.Name, RPC: j.Mark, Method: j.Method, Function: j.Function, Token: j.Token})
+	x.w.keep(record.Record{Kind: kind, Source: x.set.Name, RPC: j.Mark, Method: j.Method, Function: j.Function, Token: j.Token})
 }
 
 // ColdOverload implements standin.World.
 func (x *worker) ColdOverload(pushed, could float64) {
-	x.w.keep(record.Record{Kind: record.Fell, Who: x.set.Name, Cost: pushed, Time: could})
+	x.w.keep(record.Record{Kind: record.WorkerOverloaded, Source: x.set.Name, WorkMS: pushed, DurationMS: could})
 	x.w.after(0, x.die)
 }
 
--- a/internal/emulate/world.go
+++ b/internal/emulate/world.go
@@ -188,7 +188,7 @@
 
 // keep notes what somebody saw; the virtual clock's zero is 1970.
 func (w *world) keep(r record.Record) {
-	r.T = int64(w.now) * int64(eventloop.Unit)
+	r.UnixNS = int64(w.now) * int64(eventloop.Unit)
 	w.records = append(w.records, r)
 }
 
--- a/internal/kserve/grpc_test.go
+++ b/internal/kserve/grpc_test.go
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	for _, r := range records {
-		if r.Kind == record.Request && r.Function == function {
+		if r.Kind == record.RequestReceived && r.Function == function {
 			n++
 		}
 	}
@@ -160,12 +160,12 @@
 	records, _ := record.Read(filepath.Join(dir, "w.log"))
 	lastWorked := records[len(records)-1]
 	for _, r := range records {
-		if r.Kind == record.Worked {
+		if r.Kind == record.WorkDone {
 			lastWorked = r
 		}
 	}
-	if lastWorked.Time > 250 {
-		t.Errorf("the worker ran the cancelled RPC for %v ms", lastWorked.Time)
+	if lastWorked.DurationMS > 250 {
+		t.Errorf("the worker ran the cancelled RPC for %v ms", lastWorked.DurationMS)
 	}
 }
 
--- a/internal/kserve/http_test.go
+++ b/internal/kserve/http_test.go
@@ -309,7 +309,7 @@
 			t.Fatal(err)
 		}
 		for _, r := range records {
-			if r.Kind == record.Worked {
+			if r.Kind == record.WorkDone {
 				n++
 			}
 		}
@@ -367,9 +367,9 @@
 			t.Fatal(err)
 		}
 		for _, r := range records {
-			if r.Kind == record.Worked {
-				if r.Time > 250 {
-					t.Errorf("the worker ran the cancelled RPC for %v ms", r.Time)
+			if r.Kind == record.WorkDone {
+				if r.DurationMS > 250 {
+					t.Errorf("the worker ran the cancelled RPC for %v ms", r.DurationMS)
 				}
 				return
 			}
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,5 +1,5 @@
-// Package record is the form in which those that are not a front end keep what they saw: JSON lines, each written
-// as it happens, so that what a killed process saw is kept.
+// Package record implements the logs in which workers, the roster and clients, but not front ends, record what they
+// observe. A log is a file of JSON lines; each line is written at once, so that none is lost if the process is killed.
 package record
 
 import (
@@ -14,61 +14,62 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// Kinds of records, by who keeps them.
+// Kinds of records, by the source that writes them.
 const (
 	// workers
-	Began   = "began"   // a worker's life begins; Cold tells for how long, in ms
-	Request = "request" // an RPC came; Cost is its method's mean work in core ms
-	Hold    = "hold"    // a load order for N copies came
-	Ended   = "ended"   // the worker answers an RPC; N is its error code, 0 for ok
-	Worked  = "worked"  // an RPC gives its core back; Time is how long it had it, in ms
-	Effect  = "effect"  // an RPC's effect happened
-	Dropped = "dropped" // a repeat's effect was dropped by its token
-	Fell    = "fell"    // the worker was pushed over
+	WorkerStarted    = "began"   // a worker started; ColdMS is the length of its cold start
+	RequestReceived  = "request" // the worker received an RPC; WorkMS is the mean work of its method
+	LoadOrdered      = "hold"    // the worker received a load order for N copies
+	RequestEnded     = "ended"   // the worker responded to an RPC; N is the error code, 0 for ok
+	WorkDone         = "worked"  // an RPC released its core; DurationMS is how long it had it
+	EffectApplied    = "effect"  // the effect of an RPC happened
+	EffectDropped    = "dropped" // the effect of a repeat was dropped, because of its token
+	WorkerOverloaded = "fell"    // the cold worker failed: it was sent WorkMS of work, and could do DurationMS
 	// the roster
-	Told = "told" // a state was sent to a front end
-	// clients
-	Sent     = "sent"     // an RPC left its client; Time is how long it waits, in ms
-	Answer   = "answer"   // an answer came; Outcome is ok, denied or aborted
-	Quit     = "quit"     // the client left
-	Lost     = "lost"     // the connection broke, with the RPC open on it
-	Stopped  = "stopped"  // a front end's process was stopped
-	Resumed  = "resumed"  // and goes on
-	Killed   = "killed"   // a front end's process was killed or has left
-	Restarts = "restarts" // a front end's process began
+	StateSent = "told" // a worker's state was sent to a front end
+	// clients, and the program that starts and stops front ends
+	RPCSent        = "sent"     // a client sent an RPC; DurationMS is how long it waits
+	RPCAnswered    = "answer"   // the client received the answer; Outcome is ok, denied or aborted
+	ClientLeft     = "quit"     // the client left
+	ConnectionLost = "lost"     // the connection ended before the answer came
+	ProcessPaused  = "stopped"  // a front end's process was suspended
+	ProcessResumed = "resumed"  // it continued
+	ProcessEnded   = "killed"   // a front end's process was killed or has exited
+	ProcessStarted = "restarts" // a front end's process started
 )
 
-// Record is one line. T is the machine's clock in ns since 1970: all processes of a rehearsal share it.
+// Record is one line of a log. UnixNS is the machine's clock, in ns since 1970; all processes of a rehearsal share it.
+// Fields whose names end in MS are in milliseconds.
 type Record struct {
-	T        int64          `json:"t"`
-	Kind     string         `json:"kind"`
-	Who      string         `json:"who,omitempty"` // worker, roster or client
-	FrontEnd string         `json:"front_end,omitempty"`
-	Worker   string         `json:"worker,omitempty"`
-	Zone     string         `json:"zone,omitempty"`
-	Cell     string         `json:"cell,omitempty"`
-	RPC      string         `json:"rpc,omitempty"` // the client's mark of one try, in its payload
-	Method   string         `json:"method,omitempty"`
-	Function string         `json:"function,omitempty"`
-	Token    string         `json:"token,omitempty"`
-	Outcome  string         `json:"outcome,omitempty"`
-	State    string         `json:"state,omitempty"`
-	N        int            `json:"n,omitempty"`
-	Time     float64        `json:"time_ms,omitempty"`
-	Cost     float64        `json:"cost_ms,omitempty"`
-	Cold     float64        `json:"cold_ms,omitempty"`
-	From     float64        `json:"cold_from,omitempty"`
-	Cores    float64        `json:"cores,omitempty"`
-	Payload  jsontext.Value `json:"payload,omitempty"`
+	UnixNS     int64          `json:"t"`
+	Kind       string         `json:"kind"`
+	Source     string         `json:"who,omitempty"` // who wrote the record: the name of a worker, "roster", "client", ...
+	FrontEnd   string         `json:"front_end,omitempty"`
+	Worker     string         `json:"worker,omitempty"`
+	Zone       string         `json:"zone,omitempty"`
+	Cell       string         `json:"cell,omitempty"`
+	RPC        string         `json:"rpc,omitempty"` // the mark by which the client identifies one try, from the payload
+	Method     string         `json:"method,omitempty"`
+	Function   string         `json:"function,omitempty"`
+	Token      string         `json:"token,omitempty"`
+	Outcome    string         `json:"outcome,omitempty"`
+	State      string         `json:"state,omitempty"`
+	N          int            `json:"n,omitempty"` // see the kinds of records
+	DurationMS float64        `json:"time_ms,omitempty"`
+	WorkMS     float64        `json:"cost_ms,omitempty"` // core time of the work
+	ColdMS     float64        `json:"cold_ms,omitempty"`
+	ColdFrom   float64        `json:"cold_from,omitempty"` // the share of its speed that a cold worker starts with
+	Cores      float64        `json:"cores,omitempty"`     // of the worker, times their speed
+	Payload    jsontext.Value `json:"payload,omitempty"`
 }
 
-// Log writes records to a file; nil writes nothing.
+// Log writes records to a file. A nil Log discards them. It is safe for concurrent use.
 type Log struct {
 	mu  sync.Mutex
 	out *os.File
 }
 
-// Open appends to file; an empty name gives a nil Log.
+// Open opens a file for appending records; for an empty name it returns a nil Log.
 func Open(file string) (*Log, error) {
 	if file == "" {
 		return nil, nil
@@ -80,13 +81,13 @@
 	return &Log{out: out}, nil
 }
 
-// Add writes one record with one system call. Its time is now where it has none.
+// Add writes a record with a single system call. It sets the time to now if the record has none.
 func (l *Log) Add(r Record) error {
 	if l == nil {
 		return nil
 	}
-	if r.T == 0 {
-		r.T = time.Now().UnixNano()
+	if r.UnixNS == 0 {
+		r.UnixNS = time.Now().UnixNano()
 	}
 	text, err := json.Marshal(r)
 	if err != nil {
@@ -98,7 +99,7 @@
 	return err
 }
 
-// Close closes the file.
+// Close closes the log's file.
 func (l *Log) Close() error {
 	if l == nil {
 		return nil
@@ -106,27 +107,27 @@
 	return l.out.Close()
 }
 
-// Read reads a file's records. A last line that is cut short, as a killed process may leave it, is passed over.
+// Read reads the records of a file. It ignores an incomplete last line, which a killed process may leave.
 func Read(file string) ([]Record, error) {
-	in, err := os.Open(file)
+	f, err := os.Open(file)
 	if err != nil {
 		return nil, err
 	}
-	defer in.Close()
+	defer f.Close()
 	var out []Record
-	b := bufio.NewReader(in)
+	r := bufio.NewReader(f)
 	for line := 1; ; line++ {
-		text, err := b.ReadBytes('\n')
+		text, err := r.ReadBytes('\n')
 		if err == io.EOF {
 			return out, nil
 		}
 		if err != nil {
 			return nil, err
 		}
-		var r Record
-		if err := json.Unmarshal(text, &r); err != nil {
+		var rec Record
+		if err := json.Unmarshal(text, &rec); err != nil {
 			return nil, fmt.Errorf("%s:%d: %w", file, line, err)
 		}
-		out = append(out, r)
+		out = append(out, rec)
 	}
 }
--- a/internal/rehearse/fleet.go
+++ b/internal/rehearse/fleet.go
@@ -257,7 +257,7 @@
 
 func (f *fleet) startFrontEnd(ctx context.Context, i int) error {
 	name := frontEnd(i)
-	f.keep(record.Record{T: time.Now().UnixNano(), Kind: record.Restarts, Who: "rehearsal", FrontEnd: name})
+	f.keep(record.Record{UnixNS: time.Now().UnixNano(), Kind: record.ProcessStarted, Source: "rehearsal", FrontEnd: name})
 	p, err := f.start(name, "serve", f.path("%s.xml", name))
 	if err != nil {
 		return err
--- a/internal/rehearse/load.go
+++ b/internal/rehearse/load.go
@@ -236,7 +236,7 @@
 	keep, ms := c.keeper(front, mark, token, function, m, span)
 	b = strconv.AppendFloat(append(b, `,"time_ms":`...), ms, 'f', 1, 64)
 	b = append(jsonrpc.AppendString(append(b, `,"payload":{"mark":`...), mark), "}}"...)
-	keep(record.Sent, "")
+	keep(record.RPCSent, "")
 	got := make(chan jsonrpc.Response, 1)
 	var answers atomic.Int32
 	var left atomic.Bool
@@ -244,9 +244,9 @@
 		// noted here, by the reader: also when nobody waits any more, and answers beyond the first
 		switch answered := answers.Add(1) > 1; {
 		case a.Err == nil:
-			keep(record.Answer, outcomeOf(a.Code))
+			keep(record.RPCAnswered, outcomeOf(a.Code))
 		case !answered && !left.Load():
-			keep(record.Lost, "")
+			keep(record.ConnectionLost, "")
 		}
 		select {
 		case got <- a:
@@ -262,11 +262,11 @@
 	case <-gone:
 		left.Store(true)
 		if closes {
-			keep(record.Quit, "")
+			keep(record.ClientLeft, "")
 			return "quit", true, 0
 		}
 		conn.Notify("rpc.cancel", []byte(`{"id":1}`))
-		keep(record.Quit, "")
+		keep(record.ClientLeft, "")
 		select { // its one answer is still owed
 		case <-got:
 		case <-time.After(span):
@@ -292,8 +292,8 @@
 	keep func(kind, outcome string), ms float64) {
 	ms = math.Floor(float64(span)/1e5) / 10
 	return func(kind, outcome string) {
-		c.keep(record.Record{T: time.Now().UnixNano(), Who: "client", FrontEnd: frontEnd(front), RPC: mark, Method: m.Name,
-			Function: function, Token: token, Time: ms, Kind: kind, Outcome: outcome})
+		c.keep(record.Record{UnixNS: time.Now().UnixNano(), Source: "client", FrontEnd: frontEnd(front), RPC: mark, Method: m.Name,
+			Function: function, Token: token, DurationMS: ms, Kind: kind, Outcome: outcome})
 	}, ms
 }
 
@@ -313,7 +313,7 @@
 	ctx, end := context.WithTimeout(metadata.AppendToOutgoingContext(ctx, headers...),
 		time.Duration(ms*float64(time.Millisecond))+c.slack())
 	defer end()
-	keep(record.Sent, "")
+	keep(record.RPCSent, "")
 	_, err := c.grpc[front].ModelInfer(ctx, &oip.ModelInferRequest{ModelName: function,
 		Parameters: map[string]*oip.InferParameter{"mark": {ParameterChoice: &oip.InferParameter_StringParam{StringParam: mark}}},
 		Inputs: []*oip.ModelInferRequest_InferInputTensor{{Name: "x", Datatype: "INT32", Shape: []int64{1},
@@ -333,10 +333,10 @@
 		outcome = "error " + st.Code().String()
 	}
 	if outcome == "" {
-		keep(record.Lost, "")
+		keep(record.ConnectionLost, "")
 		return "lost", true, 0
 	}
-	keep(record.Answer, outcome)
+	keep(record.RPCAnswered, outcome)
 	return outcome, true, comeBack
 }
 
@@ -362,7 +362,7 @@
 	}
 	defer nc.Close()
 	_ = nc.SetDeadline(time.Now().Add(time.Duration(ms*float64(time.Millisecond)) + c.slack()))
-	keep(record.Sent, "")
+	keep(record.RPCSent, "")
 	r.Close = true
 	if err = r.Write(nc); err == nil {
 		var answer *http.Response
@@ -382,10 +382,10 @@
 		}
 	}
 	if err != nil {
-		keep(record.Lost, "")
+		keep(record.ConnectionLost, "")
 		return "lost", true, 0
 	}
-	keep(record.Answer, outcome)
+	keep(record.RPCAnswered, outcome)
 	return outcome, true, 0
 }
 
--- a/internal/rehearse/trouble.go
+++ b/internal/rehearse/trouble.go
@@ -180,18 +180,18 @@
 		return nil
 	case "front-end-stall":
 		name := frontEnd(rng.Intn(m.f.s.Fleet.FrontEnds))
-		m.note(record.Stopped, name)
+		m.note(record.ProcessPaused, name)
 		m.f.signal(name, syscall.SIGSTOP)
 		sleep(ctx, span)
 		m.f.signal(name, syscall.SIGCONT)
-		m.note(record.Resumed, name)
+		m.note(record.ProcessResumed, name)
 		return nil
 	}
 	return fmt.Errorf("trouble %q: sockets of one machine can't show it: emulate it", t.Kind)
 }
 
 func (m *maker) note(kind, frontEnd string) {
-	m.f.keep(record.Record{T: time.Now().UnixNano(), Kind: kind, Who: "rehearsal", FrontEnd: frontEnd})
+	m.f.keep(record.Record{UnixNS: time.Now().UnixNano(), Kind: kind, Source: "rehearsal", FrontEnd: frontEnd})
 }
 
 // crash kills workers; they come back cold after a time, under their names.
@@ -233,7 +233,7 @@
 
 // killFront kills a front end; it is back after a time.
 func (m *maker) killFront(ctx context.Context, i int, away time.Duration) error {
-	m.note(record.Killed, frontEnd(i))
+	m.note(record.ProcessEnded, frontEnd(i))
 	m.callers.front(i, true)
 	p := m.f.signal(frontEnd(i), syscall.SIGKILL)
 	<-p.done
--- a/internal/standin/model.go
+++ b/internal/standin/model.go
@@ -708,6 +708,6 @@
 }
 
 func requestRecord(j *Job, frontEnd string) record.Record {
-	return record.Record{Kind: record.Request, FrontEnd: frontEnd, RPC: j.Mark, Method: j.Method,
+	return record.Record{Kind: record.RequestReceived, FrontEnd: frontEnd, RPC: j.Mark, Method: j.Method,
 		Function: j.Function, Token: j.Token}
 }
--- a/internal/standin/roster.go
+++ b/internal/standin/roster.go
@@ -189,7 +189,7 @@
 	c.conn.Write(value)
 	for _, name := range names {
 		if m := r.entries[name]; !full || m.state != "gone" {
-			if err := r.records.Add(record.Record{T: sentAt, Kind: record.Told, Who: "roster", FrontEnd: c.frontEnd,
+			if err := r.records.Add(record.Record{UnixNS: sentAt, Kind: record.StateSent, Source: "roster", FrontEnd: c.frontEnd,
 				Worker: name, State: m.state}); err != nil {
 				r.log.Error().Err(err).Msg("cannot write the record log")
 			}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -93,8 +93,8 @@
 	if cfg.Cold {
 		cold = float64(cfg.Rules.Cold) / 10
 	}
-	if err := records.Add(record.Record{Kind: record.Began, Who: cfg.Name, Zone: cfg.Zone, Cell: cfg.Cell, Cold: cold,
-		From: cfg.Rules.ColdFrom, Cores: float64(cfg.Machine.Cores) * cfg.Machine.Speed}); err != nil {
+	if err := records.Add(record.Record{Kind: record.WorkerStarted, Source: cfg.Name, Zone: cfg.Zone, Cell: cfg.Cell, ColdMS: cold,
+		ColdFrom: cfg.Rules.ColdFrom, Cores: float64(cfg.Machine.Cores) * cfg.Machine.Speed}); err != nil {
 		l.Close()
 		return err
 	}
@@ -352,7 +352,7 @@
 		})
 	case "host.hold":
 		if copies > 0 {
-			w.addRecord(record.Record{Kind: record.Hold, Who: w.cfg.Name, FrontEnd: h.name, Function: j.Function, N: int(copies)})
+			w.addRecord(record.Record{Kind: record.LoadOrdered, Source: w.cfg.Name, FrontEnd: h.name, Function: j.Function, N: int(copies)})
 		}
 		w.loop.Post(func() {
 			w.model.OrderLoad(string(key), j.Function, int(copies), j.Memory, j.Lanes, j.LoadTime, func(code, loaded int) {
@@ -392,14 +392,14 @@
 	w := h.w
 	j.Mark = clientMark(j.Payload)
 	r := requestRecord(j, h.name)
-	r.Who = w.cfg.Name
+	r.Source = w.cfg.Name
 	if m := w.model.work[j.Method]; m != nil {
-		r.Cost = float64(m.Mean) / 10
+		r.WorkMS = float64(m.Mean) / 10
 	}
 	w.addRecord(r)
 	j.Done = func(a Response) {
 		delete(h.jobs, string(key))
-		w.addRecord(record.Record{Kind: record.Ended, Who: w.cfg.Name, FrontEnd: h.name, RPC: j.Mark, N: a.Code})
+		w.addRecord(record.Record{Kind: record.RequestEnded, Source: w.cfg.Name, FrontEnd: h.name, RPC: j.Mark, N: a.Code})
 		h.respond(key, j, a)
 	}
 }
@@ -489,22 +489,22 @@
 
 // RecordWork implements Environment.
 func (w *worker) RecordWork(j *Job, duration router.Time) {
-	w.addRecord(record.Record{Kind: record.Worked, Who: w.cfg.Name, RPC: j.Mark, Time: float64(duration) / 10})
+	w.addRecord(record.Record{Kind: record.WorkDone, Source: w.cfg.Name, RPC: j.Mark, DurationMS: float64(duration) / 10})
 }
 
 // RecordEffect implements Environment.
 func (w *worker) RecordEffect(j *Job, dropped bool) {
 	r := requestRecord(j, "")
-	r.Who, r.Kind = w.cfg.Name, record.Effect
+	r.Source, r.Kind = w.cfg.Name, record.EffectApplied
 	if dropped {
-		r.Kind = record.Dropped
+		r.Kind = record.EffectDropped
 	}
 	w.addRecord(r)
 }
 
 // ColdOverload implements Environment.
 func (w *worker) ColdOverload(sentMS, maxMS float64) {
-	w.addRecord(record.Record{Kind: record.Fell, Who: w.cfg.Name, Cost: sentMS, Time: maxMS})
+	w.addRecord(record.Record{Kind: record.WorkerOverloaded, Source: w.cfg.Name, WorkMS: sentMS, DurationMS: maxMS})
 	w.log.Error().Float64("pushed_ms", sentMS).Float64("could_ms", maxMS).Msg("cold worker overloaded")
 	w.end(ErrColdOverload)
 }
