--- a/cmd/mallowlanding/emulate.go
+++ b/cmd/mallowlanding/emulate.go
@@ -39,7 +39,7 @@
 	}
 	r.Print(e.out, s)
 	fmt.Fprintf(e.out, "in virtual time: %d moments with events in %.1f s\n", r.Events, r.Took.Seconds())
-	if len(r.Audit.Breaks) > 0 {
+	if len(r.Audit.Violations) > 0 {
 		return rehearse.ErrBroken
 	}
 	return nil
--- a/internal/emulate/emulate_test.go
+++ b/internal/emulate/emulate_test.go
@@ -95,7 +95,7 @@
 			trouble.Kind, trouble.Size = kind, x.size
 			s.Troubles = []settings.Trouble{trouble}
 			r := run(t, &s)
-			for _, b := range r.Audit.Breaks {
+			for _, b := range r.Audit.Violations {
 				t.Errorf("rule %d, %s: %s", b.Rule, b.RPC, b.Text)
 			}
 			if all := r.All(); x.shows != nil && !x.shows(all) {
@@ -119,7 +119,7 @@
 		t.Run(filepath.Base(file), func(t *testing.T) {
 			t.Parallel()
 			r := run(t, s)
-			for _, b := range r.Audit.Breaks {
+			for _, b := range r.Audit.Violations {
 				t.Errorf("rule %d, %s: %s", b.Rule, b.RPC, b.Text)
 			}
 			if r.Audit.Answers < 1000 || r.Kept() < 0.5 {
@@ -133,7 +133,7 @@
 func TestMove(t *testing.T) {
 	s := read(t, "../../examples/move.xml")
 	r := run(t, s)
-	for _, b := range r.Audit.Breaks {
+	for _, b := range r.Audit.Violations {
 		t.Errorf("rule %d, %s: %s", b.Rule, b.RPC, b.Text)
 	}
 	at := float64(s.Troubles[0].At) / 10
--- a/internal/emulate/roll_test.go
+++ b/internal/emulate/roll_test.go
@@ -7,7 +7,7 @@
 func TestRollServesEachMethod(t *testing.T) {
 	least := map[string]float64{"plan": 0.9, "ring": 0.9, "store": 0.9}
 	r := run(t, read(t, "testdata/roll.xml"))
-	for _, b := range r.Audit.Breaks {
+	for _, b := range r.Audit.Violations {
 		t.Errorf("rule %d, %s: %s", b.Rule, b.RPC, b.Text)
 	}
 	for method, want := range least {
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -169,7 +169,7 @@
 	out := j.Run
 	out.Kept, out.OKShare = r.Kept(), float64(all.OK)/float64(max(all.Asked, 1))
 	out.Asked, out.Late, out.Denied, out.Aborted, out.Lost = int64(all.Asked), int64(all.Late), int64(all.Denied), int64(all.Aborted), int64(all.Lost)
-	out.CallOuts, out.Orders, out.Breaks = int64(r.Audit.CallOuts), int64(r.Audit.Orders), int64(len(r.Audit.Breaks))
+	out.CallOuts, out.Orders, out.Breaks = int64(r.Audit.CallOuts), int64(r.Audit.Orders), int64(len(r.Audit.Violations))
 	out.P50, out.P99 = all.Quantile(50).Seconds()*1000, all.Quantile(99).Seconds()*1000
 	out.TookMs = r.Took.Seconds() * 1000
 	if err := write(filepath.Join(dir, "rpcs", key+".parquet"), r.RPCs); err != nil {
--- a/internal/rehearse/rehearse.go
+++ b/internal/rehearse/rehearse.go
@@ -34,7 +34,7 @@
 		return err
 	}
 	o.Print(out, s)
-	if len(o.Audit.Breaks) > 0 || o.Broken {
+	if len(o.Audit.Violations) > 0 || o.Broken {
 		return ErrBroken
 	}
 	return nil
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -179,8 +179,8 @@
 				t.Errorf("the auditor saw too little: %+v", o.Audit)
 			}
 			caught := 0
-			for _, b := range o.Audit.Breaks {
-				if c.rule == 0 || b.RPC == "" || b.T < begin.UnixNano() || b.T > time.Now().UnixNano() {
+			for _, b := range o.Audit.Violations {
+				if c.rule == 0 || b.RPC == "" || b.UnixNS < begin.UnixNano() || b.UnixNS > time.Now().UnixNano() {
 					t.Errorf("%+v", b)
 				}
 				if b.Rule == c.rule {
--- a/internal/scenario/day.go
+++ b/internal/scenario/day.go
@@ -30,7 +30,7 @@
 // Outcome is what a day brought.
 type Outcome struct {
 	Audit   audit.Result
-	Waste   audit.Wasted
+	Waste   audit.WastedWork
 	Methods map[string]*Tally
 	Seconds []*Tally
 	Broken  bool   // something other than the five rules broke
@@ -321,16 +321,16 @@
 
 // Judge audits a day's records.
 func Judge(s *settings.Scenario, records []record.Record, b *Book, notes string) *Outcome {
-	return &Outcome{Audit: audit.Check(Figures(s), records), Waste: audit.Waste(records, leftMargin), Methods: b.Methods,
+	return &Outcome{Audit: audit.Check(Figures(s), records), Waste: audit.MeasureWaste(records, leftMargin), Methods: b.Methods,
 		Seconds: b.Seconds, Notes: notes}
 }
 
 // Figures are what a scenario's rules are held to.
-func Figures(s *settings.Scenario) audit.Figures {
+func Figures(s *settings.Scenario) audit.Limits {
 	r, fn := &s.Service.Rules, &s.Service.Functions
-	f := audit.Figures{Methods: map[string]audit.Method{}, Slack: float64(s.Slack) / 10, Drain: float64(r.Drain) / 10,
-		FallMultiple: r.FallMultiple, Fall: float64(r.Fall) / 10, Cold: float64(r.Cold) / 10,
-		LoadWindow: float64(fn.LoadWindow) / 10, LoadFree: fn.LoadFree, LoadShare: fn.LoadShare}
+	f := audit.Limits{Methods: map[string]audit.Method{}, Slack: float64(s.Slack) / 10, DrainGrace: float64(r.Drain) / 10,
+		OverloadMultiple: r.FallMultiple, OverloadWindow: float64(r.Fall) / 10, Cold: float64(r.Cold) / 10,
+		LoadWindow: float64(fn.LoadWindow) / 10, FreeLoads: fn.LoadFree, LoadShare: fn.LoadShare}
 	for _, m := range s.Service.Methods {
 		f.Methods[m.Name] = audit.Method{Effect: m.Effect, Group: m.Group, Window: float64(m.Window) / 10}
 	}
@@ -457,13 +457,13 @@
 	fmt.Fprintf(out, "seen by clients, workers and roster: %d RPCs, %d answers, %d call-outs, %d load orders, %d effects\n",
 		a.RPCs, a.Answers, a.CallOuts, a.Orders, a.Effects)
 	fmt.Fprint(out, o.Notes)
-	if q := o.Waste; q.Quits > 0 {
+	if q := o.Waste; q.ClientsLeft > 0 {
 		fmt.Fprintf(out, "%d clients left: work begun later than %d ms after that %d times, %.0f ms; work past that %.0f ms of %.0f, %.2f%%\n",
-			q.Quits, leftMargin, q.Late, q.Begun, q.Went, q.All, 100*q.Went/max(q.All, 1e-9))
+			q.ClientsLeft, leftMargin, q.StartedLate, q.StartedLateMS, q.WastedMS, q.TotalMS, 100*q.WastedMS/max(q.TotalMS, 1e-9))
 	}
 	for rule := 1; rule <= 5; rule++ {
-		var breaks []audit.Break
-		for _, b := range a.Breaks {
+		var breaks []audit.Violation
+		for _, b := range a.Violations {
 			if b.Rule == rule {
 				breaks = append(breaks, b)
 			}
@@ -474,7 +474,7 @@
 				fmt.Fprintf(out, "  and %d more\n", len(breaks)-i)
 				break
 			}
-			fmt.Fprintf(out, "  %s %s: %s\n", time.Unix(0, b.T).UTC().Format("15:04:05.000"), b.RPC, b.Text)
+			fmt.Fprintf(out, "  %s %s: %s\n", time.Unix(0, b.UnixNS).UTC().Format("15:04:05.000"), b.RPC, b.Text)
 		}
 	}
 }
--- a/internal/scenariosearch/hunt.go
+++ b/internal/scenariosearch/hunt.go
@@ -100,7 +100,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Found{Scenario: s, Kept: m.Kept(), Oracle: o.Kept(), Breaks: len(m.Audit.Breaks)}, nil
+	return &Found{Scenario: s, Kept: m.Kept(), Oracle: o.Kept(), Breaks: len(m.Audit.Violations)}, nil
 }
 
 // draw makes a day: another fleet, another load, up to four troubles.
