--- a/client/client.go
+++ b/client/client.go
@@ -1,10 +1,13 @@
-// Package client speaks to mallowlanding's front ends: JSON-RPC 2.0 over Unix sockets, as docs/protocol.md words it.
+// Package client implements a client of mallowlanding's front ends: JSON-RPC 2.0 over Unix sockets, as specified in
+// docs/protocol.md.
 //
-// A Client keeps one connection to one of several front ends, sends RPCs without waiting for others' answers, goes on
-// to the next front end when one is lost, and repeats an RPC only where that is harmless:
+// A Client keeps one connection, to one of several front ends, on which it sends RPCs without waiting for the answers
+// of earlier ones. When the connection is lost it connects to the next front end. It repeats an RPC only where that is
+// harmless:
 //
-//   - it was never sent, or was denied: any;
-//   - the connection broke, or it was aborted: idempotent ones; tokened ones of the group of all within their window.
+//   - if it was never sent, or was denied, whatever its method;
+//   - if the connection was lost, or the RPC was aborted: if its method is idempotent, or is tokened with the group
+//     "all" and its window has not passed.
 package client
 
 import (
@@ -22,45 +25,47 @@
 	"mallowlanding/internal/jsonrpc"
 )
 
-// Effect is what running an RPC twice would do.
+// Effect says which RPCs of a method may run twice.
 type Effect struct {
-	Idempotent bool          // it may run again
-	Window     time.Duration // tokened, of the group of all: a repeat within it has no effect; 0: not so
+	Idempotent bool          // an RPC may run any number of times
+	Window     time.Duration // tokened, with group "all": a repeat within it has no effect; otherwise 0
 }
 
 // Options are a client's settings.
 type Options struct {
-	Sockets []string          // of front ends, the first to be tried first
-	Methods map[string]Effect // by method; what is not here must never run twice
-	Repeats int               // at most so many, after the first try
-	BackOff time.Duration     // first pause before a repeat, doubling, each drawn from half to one and a half of it; default 50 ms
-	Limit   int               // bytes of one answer; default 64 MiB
-	Seed    int64             // of the pauses; default 1
+	Sockets        []string          // of the front ends, in the order in which they are tried
+	Methods        map[string]Effect // by name; RPCs of methods that are not listed must never run twice
+	MaxRepeats     int               // after the first try; 0: none
+	Backoff        time.Duration     // before the first repeat, then doubling; ±50% jitter; default 50 ms
+	MaxAnswerBytes int               // default 64 MiB
+	Seed           int64             // of the jitter; default 1
 }
 
-// RPC is what is asked for.
+// RPC is a request to run a method of a function.
 type RPC struct {
 	Method   string
 	Function string
 	Customer string
 	Token    string
-	Payload  []byte // JSON; empty: none
+	Payload  []byte // JSON; may be empty
 }
 
-// Denied says that a retry is harmless, after ComeBack where that is told.
+// Denied is the error of an RPC that was denied: a retry is harmless, but not before RetryAfter has passed, if it is
+// not 0.
 type Denied struct {
-	Message  string
-	ComeBack time.Duration
+	Message    string
+	RetryAfter time.Duration
 }
 
 func (e *Denied) Error() string { return e.Message }
 
-// Aborted promises nothing: it may have run.
+// Aborted is the error of an RPC that was aborted: it may have run, and nothing is promised about its effect.
 type Aborted struct{ Cause string }
 
 func (e *Aborted) Error() string { return "aborted: " + e.Cause }
 
-// Refused is an error of the one who asks: the code is JSON-RPC's, or -32003 for a peer that may not.
+// Refused is the error of an RPC that the front end rejected as wrong: the code is one of JSON-RPC, or -32003 if the
+// client lacks permission.
 type Refused struct {
 	Code    int
 	Message string
@@ -68,38 +73,38 @@
 
 func (e *Refused) Error() string { return fmt.Sprintf("%s (%d)", e.Message, e.Code) }
 
-// Errors of the way there.
+// Errors of the connection.
 var (
-	ErrUnsent = errors.New("not sent: no front end could be reached") // it never ran
-	ErrLost   = errors.New("connection lost: it may have run")
+	ErrUnsent = errors.New("not sent: no front end could be reached") // the RPC never ran
+	ErrLost   = errors.New("connection lost: the RPC may have run")
 )
 
-// Client is safe for several goroutines.
+// Client is a client of front ends. It is safe for concurrent use.
 type Client struct {
-	o Options
+	options Options
 
-	mu     sync.Mutex
-	rng    *rand.Rand
-	conn   *conn
-	at     int // place of the front end in use
-	closed bool
+	mu      sync.Mutex
+	rng     *rand.Rand
+	conn    *conn
+	current int // index in options.Sockets of the front end in use
+	closed  bool
 }
 
-// New makes a client; it connects with the first RPC.
+// New returns a client. It connects when the first RPC is sent.
 func New(o Options) *Client {
-	if o.BackOff == 0 {
-		o.BackOff = 50 * time.Millisecond
+	if o.Backoff == 0 {
+		o.Backoff = 50 * time.Millisecond
 	}
-	if o.Limit == 0 {
-		o.Limit = 64 << 20
+	if o.MaxAnswerBytes == 0 {
+		o.MaxAnswerBytes = 64 << 20
 	}
 	if o.Seed == 0 {
 		o.Seed = 1
 	}
-	return &Client{o: o, rng: rand.New(rand.NewSource(o.Seed))}
+	return &Client{options: o, rng: rand.New(rand.NewSource(o.Seed))}
 }
 
-// Close ends the connection; RPCs out on it end as lost.
+// Close closes the connection; RPCs in flight on it end with ErrLost.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,30 +114,30 @@
 	}
 }
 
-// Call sends an RPC and returns the worker's value. The context's deadline is the client's time; its end has the RPC
-// cancelled.
+// Call sends an RPC, repeats it where that is harmless, and returns the worker's value. The context's deadline is sent
+// as the RPC's time; when the context ends, the RPC is cancelled.
 func (c *Client) Call(ctx context.Context, r RPC) ([]byte, error) {
-	var first time.Time // when it may have run first
+	var mayHaveRunSince time.Time // when a try that may have run ended first
 	for try := 0; ; try++ {
-		value, err := c.once(ctx, r, try > 0)
-		if err == nil || try >= c.o.Repeats || ctx.Err() != nil {
+		value, err := c.sendOnce(ctx, r, try > 0)
+		if err == nil || try >= c.options.MaxRepeats || ctx.Err() != nil {
 			return value, err
 		}
-		effect := c.o.Methods[r.Method]
-		wait := c.o.BackOff << min(try, 10)
+		effect := c.options.Methods[r.Method]
+		wait := c.options.Backoff << min(try, 10)
 		var denied *Denied
 		var aborted *Aborted
 		switch {
 		case errors.As(err, &denied):
-			if denied.ComeBack > 0 {
-				wait = denied.ComeBack
+			if denied.RetryAfter > 0 {
+				wait = denied.RetryAfter
 			}
 		case errors.Is(err, ErrUnsent):
 		case errors.Is(err, ErrLost) || errors.As(err, &aborted):
-			if first.IsZero() {
-				first = time.Now()
+			if mayHaveRunSince.IsZero() {
+				mayHaveRunSince = time.Now()
 			}
-			if !effect.Idempotent && time.Since(first)+wait*3/2 >= effect.Window {
+			if !effect.Idempotent && time.Since(mayHaveRunSince)+wait*3/2 >= effect.Window {
 				return value, err
 			}
 		default:
@@ -149,44 +154,44 @@
 	}
 }
 
-// once sends an RPC once.
-func (c *Client) once(ctx context.Context, r RPC, repeat bool) ([]byte, error) {
-	k, err := c.connect(ctx)
+// sendOnce sends an RPC once and waits for the answer.
+func (c *Client) sendOnce(ctx context.Context, r RPC, repeat bool) ([]byte, error) {
+	conn, err := c.connect(ctx)
 	if err != nil {
 		return nil, err
 	}
-	id, got, err := k.send(r.Method, params(ctx, r, repeat))
+	id, answerCh, err := conn.send(r.Method, encodeParams(ctx, r, repeat))
 	if err != nil {
 		return nil, err
 	}
 	select {
-	case a := <-got:
+	case a := <-answerCh:
 		return a.value, a.err
 	case <-ctx.Done():
-		k.cancel(id)
-		select { // one answer is owed, though the client's time is up or it has lost interest
-		case a := <-got:
+		conn.cancel(id)
+		select { // the front end still sends the answer of an RPC that was cancelled or whose time is up
+		case a := <-answerCh:
 			if a.err == nil {
 				return a.value, nil
 			}
 			return nil, errors.Join(ctx.Err(), a.err)
-		case <-time.After(cancelPatience):
+		case <-time.After(cancelTimeout):
 			return nil, errors.Join(ctx.Err(), ErrLost)
 		}
 	}
 }
 
-// cancelPatience is how long the answer to a cancelled RPC is waited for.
-const cancelPatience = time.Second
+// cancelTimeout bounds the wait for the answer to a cancelled RPC.
+const cancelTimeout = time.Second
 
-func params(ctx context.Context, r RPC, repeat bool) []byte {
+func encodeParams(ctx context.Context, r RPC, repeat bool) []byte {
 	b := jsonrpc.AppendString([]byte(`{"function":`), r.Function)
 	for _, f := range [][2]string{{"customer", r.Customer}, {"token", r.Token}} {
 		if f[1] != "" {
 			b = jsonrpc.AppendString(append(jsonrpc.AppendString(append(b, ','), f[0]), ':'), f[1])
 		}
 	}
-	if deadline, has := ctx.Deadline(); has {
+	if deadline, ok := ctx.Deadline(); ok {
 		left := max(0, time.Until(deadline)).Seconds() * 1000
 		b = strconv.AppendFloat(append(b, `,"time_ms":`...), left, 'f', 1, 64)
 	}
@@ -199,14 +204,14 @@
 	return append(b, '}')
 }
 
-// Result is one part of a batch.
+// Result is the result of an RPC of a batch.
 type Result struct {
 	Value []byte
 	Err   error
 }
 
-// Batch sends RPCs as one JSON-RPC batch, once: which of them may be repeated is the caller's to see. Results stand
-// in the RPCs' order.
+// Batch sends RPCs as one JSON-RPC batch. It repeats none of them; which may be repeated is left to the caller. The
+// results are in the order of the RPCs.
 func (c *Client) Batch(ctx context.Context, rpcs []RPC) []Result {
 	out := make([]Result, len(rpcs))
 	fail := func(err error) []Result {
@@ -218,33 +223,33 @@
 	if len(rpcs) == 0 {
 		return out
 	}
-	k, err := c.connect(ctx)
+	conn, err := c.connect(ctx)
 	if err != nil {
 		return fail(err)
 	}
 	value := []byte{'['}
-	ids, gots := make([]string, len(rpcs)), make([]chan answer, len(rpcs))
+	ids, answerChs := make([]string, len(rpcs)), make([]chan answer, len(rpcs))
 	for i, r := range rpcs {
-		ids[i], gots[i] = k.expect()
+		ids[i], answerChs[i] = conn.expect()
 		if i > 0 {
 			value = append(value, ',')
 		}
-		value = jsonrpc.AppendRequest(value, jsonrpc.ID(ids[i]), r.Method, params(ctx, r, false))
+		value = jsonrpc.AppendRequest(value, jsonrpc.ID(ids[i]), r.Method, encodeParams(ctx, r, false))
 	}
-	if err := k.write(append(value, ']')); err != nil {
-		k.forget(ids...)
+	if err := conn.write(append(value, ']')); err != nil {
+		conn.forget(ids...)
 		return fail(err)
 	}
-	for i := range gots {
+	for i := range answerChs {
 		select {
-		case a := <-gots[i]:
+		case a := <-answerChs[i]:
 			out[i] = Result{a.value, a.err}
 		case <-ctx.Done():
-			k.cancel(ids[i])
+			conn.cancel(ids[i])
 			select {
-			case a := <-gots[i]:
+			case a := <-answerChs[i]:
 				out[i] = Result{a.value, a.err}
-			case <-time.After(cancelPatience):
+			case <-time.After(cancelTimeout):
 				out[i].Err = errors.Join(ctx.Err(), ErrLost)
 			}
 		}
@@ -252,31 +257,32 @@
 	return out
 }
 
-// connect gives the connection in use, or a new one to the first front end that takes it, from the one in use on.
+// connect returns the current connection if it still works. Otherwise it opens a new one, to the first front end that
+// accepts it, starting with the current one.
 func (c *Client) connect(ctx context.Context) (*conn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return nil, errors.Join(ErrUnsent, net.ErrClosed)
 	}
-	if c.conn != nil && !c.conn.over() {
+	if c.conn != nil && !c.conn.hasEnded() {
 		return c.conn, nil
 	}
-	var failed error
-	for i := range c.o.Sockets {
-		at := (c.at + i) % len(c.o.Sockets)
-		nc, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "unix", c.o.Sockets[at])
+	var dialErr error
+	for i := range c.options.Sockets {
+		index := (c.current + i) % len(c.options.Sockets)
+		nc, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "unix", c.options.Sockets[index])
 		if err != nil {
-			failed = errors.Join(failed, err)
+			dialErr = errors.Join(dialErr, err)
 			continue
 		}
-		k := &conn{nc: nc, wait: map[string]chan answer{}}
-		c.conn, c.at = k, at
-		go k.read(c.o.Limit)
-		return k, nil
+		connection := &conn{nc: nc, pending: map[string]chan answer{}}
+		c.conn, c.current = connection, index
+		go connection.read(c.options.MaxAnswerBytes)
+		return connection, nil
 	}
-	c.at++
-	return nil, errors.Join(ErrUnsent, failed)
+	c.current++
+	return nil, errors.Join(ErrUnsent, dialErr)
 }
 
 type answer struct {
@@ -284,107 +290,107 @@
 	err   error
 }
 
-// conn is one connection.
+// conn is a connection to a front end.
 type conn struct {
 	jsonrpc.IgnoreBatches
 	nc net.Conn
 
-	writing sync.Mutex
+	writing sync.Mutex // held during a write
 
-	mu    sync.Mutex
-	last  uint64
-	wait  map[string]chan answer
-	ended error
+	mu      sync.Mutex
+	last    uint64
+	pending map[string]chan answer
+	ended   error // why nothing more can be sent
 }
 
-func (k *conn) over() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.ended != nil
+func (c *conn) hasEnded() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.ended != nil
 }
 
-// expect makes the place for an answer.
-func (k *conn) expect() (id string, got chan answer) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.last++
-	id, got = strconv.FormatUint(k.last, 10), make(chan answer, 1)
-	if k.ended != nil {
-		got <- answer{err: ErrUnsent}
-		return id, got
-	}
-	k.wait[id] = got
-	return id, got
+// expect assigns the id of a request, and returns the channel that will receive its answer.
+func (c *conn) expect() (id string, answerCh chan answer) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.last++
+	id, answerCh = strconv.FormatUint(c.last, 10), make(chan answer, 1)
+	if c.ended != nil {
+		answerCh <- answer{err: ErrUnsent}
+		return id, answerCh
+	}
+	c.pending[id] = answerCh
+	return id, answerCh
 }
 
-func (k *conn) forget(ids ...string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (c *conn) forget(ids ...string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for _, id := range ids {
-		delete(k.wait, id)
+		delete(c.pending, id)
 	}
 }
 
-func (k *conn) send(method string, params []byte) (id string, got chan answer, err error) {
-	id, got = k.expect()
-	if err := k.write(jsonrpc.AppendRequest(nil, jsonrpc.ID(id), method, params)); err != nil {
-		k.forget(id)
+func (c *conn) send(method string, params []byte) (id string, answerCh chan answer, err error) {
+	id, answerCh = c.expect()
+	if err := c.write(jsonrpc.AppendRequest(nil, jsonrpc.ID(id), method, params)); err != nil {
+		c.forget(id)
 		return "", nil, err
 	}
-	return id, got, nil
+	return id, answerCh, nil
 }
 
-// write sends a value. Where not a byte of it left, it never will: ErrUnsent.
-func (k *conn) write(value []byte) error {
-	k.writing.Lock()
-	defer k.writing.Unlock()
-	n, err := k.nc.Write(append(value, '\n'))
+// write sends a value. The error is ErrUnsent if not a byte of it was written, and ErrLost if some were.
+func (c *conn) write(value []byte) error {
+	c.writing.Lock()
+	defer c.writing.Unlock()
+	n, err := c.nc.Write(append(value, '\n'))
 	if err == nil {
 		return nil
 	}
-	k.mu.Lock()
-	if k.ended == nil {
-		k.ended = err // no more is sent here; what is out may still be answered
+	c.mu.Lock()
+	if c.ended == nil {
+		c.ended = err // nothing more is sent on this connection; RPCs in flight may still be answered
 	}
-	k.mu.Unlock()
+	c.mu.Unlock()
 	if n == 0 {
 		return errors.Join(ErrUnsent, err)
 	}
 	return errors.Join(ErrLost, err)
 }
 
-func (k *conn) cancel(id string) {
-	_ = k.write(jsonrpc.AppendRequest(nil, nil, "rpc.cancel", []byte(`{"id":`+id+`}`)))
+func (c *conn) cancel(id string) {
+	_ = c.write(jsonrpc.AppendRequest(nil, nil, "rpc.cancel", []byte(`{"id":`+id+`}`)))
 }
 
-func (k *conn) read(limit int) {
-	r := jsonrpc.NewReader(k.nc, limit)
+func (c *conn) read(limit int) {
+	r := jsonrpc.NewReader(c.nc, limit)
 	var dec jsonrpc.Decoder
 	var err error
 	for err == nil {
 		var value []byte
 		if value, err = r.Next(); err == nil {
-			dec.Decode(value, k)
+			dec.Decode(value, c)
 		}
 	}
-	k.nc.Close()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.ended = err
-	for id, got := range k.wait {
-		delete(k.wait, id)
-		got <- answer{err: errors.Join(ErrLost, err)}
+	c.nc.Close()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.ended = err
+	for id, answerCh := range c.pending {
+		delete(c.pending, id)
+		answerCh <- answer{err: errors.Join(ErrLost, err)}
 	}
 }
 
-// HandleRequest implements jsonrpc.Peer: front ends ask nothing.
-func (k *conn) HandleRequest(jsonrpc.ID, string, []byte) {}
+// HandleRequest implements jsonrpc.Peer. Front ends send no requests to clients.
+func (c *conn) HandleRequest(jsonrpc.ID, string, []byte) {}
 
 // HandleInvalid implements jsonrpc.Peer.
-func (k *conn) HandleInvalid(jsonrpc.ID, int, string) { k.nc.Close() }
+func (c *conn) HandleInvalid(jsonrpc.ID, int, string) { c.nc.Close() }
 
 // HandleResponse implements jsonrpc.Peer.
-func (k *conn) HandleResponse(id jsonrpc.ID, result []byte, code int, message string, data []byte) {
+func (c *conn) HandleResponse(id jsonrpc.ID, result []byte, code int, message string, data []byte) {
 	a := answer{}
 	switch code {
 	case 0:
@@ -398,21 +404,21 @@
 	default:
 		a.err = &Refused{code, message}
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if string(id) == "null" {
-		if code != -32001 && code != -32003 { // which of ours it was can't be told
-			k.nc.Close()
+		if code != -32001 && code != -32003 { // there is no way to know which RPC the error is for
+			c.nc.Close()
 			return
 		}
-		for i, got := range k.wait { // the connection itself is turned away: what is out on it never ran
-			delete(k.wait, i)
-			got <- a
+		for pendingID, answerCh := range c.pending { // the front end refused the connection: RPCs in flight on it never ran
+			delete(c.pending, pendingID)
+			answerCh <- a
 		}
 		return
 	}
-	if got := k.wait[string(id)]; got != nil {
-		delete(k.wait, string(id))
-		got <- a
+	if answerCh := c.pending[string(id)]; answerCh != nil {
+		delete(c.pending, string(id))
+		answerCh <- a
 	}
 }
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -23,20 +23,20 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// service is a roster and two stand-in workers; front ends are started beside them.
-type service struct {
+// testService is a roster with a store and two stand-in workers. Tests start front ends for them.
+type testService struct {
 	t   *testing.T
 	dir string
 	ctx context.Context
 }
 
-func start(t *testing.T) *service {
+func start(t *testing.T) *testService {
 	dir, err := os.MkdirTemp("", "ml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &service{t: t, dir: dir, ctx: ctx}
+	s := &testService{t: t, dir: dir, ctx: ctx}
 	var running sync.WaitGroup
 	t.Cleanup(func() {
 		cancel()
@@ -71,7 +71,7 @@
 	return s
 }
 
-func (s *service) write(name, text string) string {
+func (s *testService) write(name, text string) string {
 	file := filepath.Join(s.dir, name)
 	if err := os.WriteFile(file, fmt.Appendf(nil, text, s.dir), 0o600); err != nil {
 		s.t.Fatal(err)
@@ -79,8 +79,8 @@
 	return file
 }
 
-// front runs a front end of a name; the channel is closed once it has left.
-func (s *service) front(ctx context.Context, name string) <-chan struct{} {
+// startFrontEnd runs a front end; the returned channel is closed once it has stopped.
+func (s *testService) startFrontEnd(ctx context.Context, name string) <-chan struct{} {
 	f, err := settings.ReadFrontEnd(s.write(name+".xml", `<front-end name="`+name+`"><clients socket="%[1]s/`+name+`.sock" hand-over="%[1]s/`+name+`.next"/>
 <kserve socket="%[1]s/`+name+`.http" grpc-socket="%[1]s/`+name+`.grpc"><model name="m" method="query"/></kserve>
 <roster socket="%[1]s/roster.sock"/><service><method name="query" effect="idempotent" lanes="8" load-ms="5"/>
@@ -88,63 +88,63 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	ready, left := make(chan struct{}), make(chan struct{})
+	ready, stopped := make(chan struct{}), make(chan struct{})
 	go func() {
-		defer close(left)
+		defer close(stopped)
 		if err := gateway.Serve(ctx, f, zerolog.Nop(), func() { close(ready) }); err != nil {
 			s.t.Error(err)
 		}
 	}()
 	<-ready
-	return left
+	return stopped
 }
 
-func (s *service) socket(name string) string { return filepath.Join(s.dir, name+".sock") }
+func (s *testService) socket(name string) string { return filepath.Join(s.dir, name+".sock") }
 
 func TestErrors(t *testing.T) {
 	s := start(t)
 	ctx, stop := context.WithCancel(context.Background())
-	left := s.front(ctx, "a")
+	stopped := s.startFrontEnd(ctx, "a")
 	c := New(Options{Sockets: []string{s.socket("none"), s.socket("a")}})
-	defer func() { c.Close(); stop(); <-left }()
+	defer func() { c.Close(); stop(); <-stopped }()
 	value, err := c.Call(ctx, RPC{Method: "query", Function: "f", Payload: []byte(`[1.0]`)})
 	if err != nil || !strings.Contains(string(value), `"payload":[1.0]`) {
 		t.Errorf("%s, %v", value, err)
 	}
 	var refused *Refused
 	if _, err := c.Call(ctx, RPC{Method: "none", Function: "f"}); !errors.As(err, &refused) || refused.Code != -32601 {
-		t.Errorf("no such method: %v", err)
+		t.Errorf("unknown method: %v, want Refused with code -32601", err)
 	}
-	short, cancel := context.WithTimeout(ctx, 250*time.Millisecond)
+	shortCtx, cancel := context.WithTimeout(ctx, 250*time.Millisecond)
 	defer cancel()
 	var aborted *Aborted
-	if _, err := c.Call(short, RPC{Method: "slow", Function: "g"}); !errors.As(err, &aborted) {
-		t.Errorf("out of time while it runs: %v", err)
+	if _, err := c.Call(shortCtx, RPC{Method: "slow", Function: "g"}); !errors.As(err, &aborted) {
+		t.Errorf("time up while the RPC runs: %v, want Aborted", err)
 	}
 	results := c.Batch(ctx, []RPC{{Method: "query", Function: "f"}, {Method: "none"}, {Method: "query", Function: "h"}})
 	if results[0].Err != nil || !errors.As(results[1].Err, &refused) || results[2].Err != nil {
-		t.Errorf("%v", results)
+		t.Errorf("batch: %v, want an error only of the second RPC", results)
 	}
-	cancelled, cancel2 := context.WithCancel(ctx)
-	time.AfterFunc(50*time.Millisecond, cancel2)
-	began := time.Now()
-	if _, err := c.Call(cancelled, RPC{Method: "slow", Function: "g"}); !errors.Is(err, context.Canceled) || time.Since(began) > 250*time.Millisecond {
-		t.Errorf("cancelled: %v after %v", err, time.Since(began))
+	cancelledCtx, cancelCall := context.WithCancel(ctx)
+	time.AfterFunc(50*time.Millisecond, cancelCall)
+	start := time.Now()
+	if _, err := c.Call(cancelledCtx, RPC{Method: "slow", Function: "g"}); !errors.Is(err, context.Canceled) || time.Since(start) > 250*time.Millisecond {
+		t.Errorf("cancelled RPC: %v after %v", err, time.Since(start))
 	}
-	nobody := New(Options{Sockets: []string{s.socket("none")}, Repeats: 2, BackOff: time.Millisecond})
-	if _, err := nobody.Call(ctx, RPC{Method: "query", Function: "f"}); !errors.Is(err, ErrUnsent) {
-		t.Errorf("nobody there: %v", err)
+	unreachable := New(Options{Sockets: []string{s.socket("none")}, MaxRepeats: 2, Backoff: time.Millisecond})
+	if _, err := unreachable.Call(ctx, RPC{Method: "query", Function: "f"}); !errors.Is(err, ErrUnsent) {
+		t.Errorf("no front end there: %v, want ErrUnsent", err)
 	}
 }
 
-// The first front end leaves while RPCs run: they are answered, and the next ones go to the second.
-func TestFailOver(t *testing.T) {
+// The first front end stops while RPCs run. They must be answered, and later ones must go to the second front end.
+func TestFailover(t *testing.T) {
 	s := start(t)
 	ctx, stop := context.WithCancel(context.Background())
-	first, stopFirst := context.WithCancel(ctx)
-	leftA, leftB := s.front(first, "a"), s.front(ctx, "b")
-	c := New(Options{Sockets: []string{s.socket("a"), s.socket("b")}, Repeats: 5})
-	defer func() { c.Close(); stop(); <-leftA; <-leftB }()
+	firstCtx, stopFirst := context.WithCancel(ctx)
+	stoppedA, stoppedB := s.startFrontEnd(firstCtx, "a"), s.startFrontEnd(ctx, "b")
+	c := New(Options{Sockets: []string{s.socket("a"), s.socket("b")}, MaxRepeats: 5})
+	defer func() { c.Close(); stop(); <-stoppedA; <-stoppedB }()
 	if _, err := c.Call(ctx, RPC{Method: "slow", Function: "f"}); err != nil {
 		t.Fatal(err)
 	}
@@ -157,30 +157,31 @@
 	stopFirst()
 	for range 20 {
 		if _, err := c.Call(ctx, RPC{Method: "slow", Function: "f"}); err != nil {
-			t.Errorf("after the first has left: %v", err)
+			t.Errorf("RPC after the first front end was stopped: %v", err)
 		}
-		if c.at == 1 {
+		if c.current == 1 {
 			break
 		}
 	}
 	if err := <-done; err != nil {
-		t.Errorf("held when it left: %v", err)
+		t.Errorf("RPC in flight when the first front end was stopped: %v", err)
 	}
 }
 
-// Ten successors take the socket over under load, the last of ten times with a thousand RPCs open: every RPC is
-// answered ok, none lost, refused or denied. Side-effecting ones are not repeated unless they were never sent.
-func TestHandOver(t *testing.T) {
+// Ten successors in turn take over the socket under load, the last with a thousand RPCs in flight. Every RPC must be
+// answered ok: none may be lost, refused or denied. The clients treat the method as side-effecting, since their options
+// don't list it, and so repeat an RPC only if it was never sent or was denied.
+func TestHandover(t *testing.T) {
 	s := start(t)
 	ctx, stop := context.WithCancel(context.Background())
-	left := s.front(ctx, "a")
-	var calls, failed atomic.Int64
+	stopped := s.startFrontEnd(ctx, "a")
+	var calls, failures atomic.Int64
 	var clients sync.WaitGroup
-	over := make(chan struct{})
+	done := make(chan struct{})
 	call := func(c *Client, method string) {
 		calls.Add(1)
 		if _, err := c.Call(ctx, RPC{Method: method, Function: "f"}); err != nil {
-			failed.Add(1)
+			failures.Add(1)
 			t.Error(err)
 		}
 	}
@@ -188,11 +189,11 @@
 		clients.Add(1)
 		go func() {
 			defer clients.Done()
-			c := New(Options{Sockets: []string{s.socket("a")}, Repeats: 3, BackOff: time.Millisecond, Seed: int64(i + 1)})
+			c := New(Options{Sockets: []string{s.socket("a")}, MaxRepeats: 3, Backoff: time.Millisecond, Seed: int64(i + 1)})
 			defer c.Close()
 			for {
 				select {
-				case <-over:
+				case <-done:
 					return
 				default:
 					call(c, "query")
@@ -203,7 +204,7 @@
 	for n := range 10 {
 		time.Sleep(50 * time.Millisecond)
 		if n == 9 {
-			c := New(Options{Sockets: []string{s.socket("a")}, Repeats: 3, BackOff: time.Millisecond})
+			c := New(Options{Sockets: []string{s.socket("a")}, MaxRepeats: 3, Backoff: time.Millisecond})
 			defer c.Close()
 			for range 1000 {
 				clients.Add(1)
@@ -211,25 +212,26 @@
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		next := s.front(ctx, "a")
+		next := s.startFrontEnd(ctx, "a")
 		select {
-		case <-left:
+		case <-stopped:
 		case <-time.After(10 * time.Second):
-			t.Fatal("the old one does not leave")
+			t.Fatal("the old front end does not stop after the hand-over")
 		}
-		left = next
+		stopped = next
 	}
-	close(over)
+	close(done)
 	clients.Wait()
-	if nc, err := net.Dial("unix", filepath.Join(s.dir, "a.http")); err != nil { // the second front came along
+	// the KServe socket must have been handed over too
+	if nc, err := net.Dial("unix", filepath.Join(s.dir, "a.http")); err != nil {
 		t.Error(err)
 	} else {
 		nc.Close()
 	}
 	stop()
-	<-left
+	<-stopped
 	if calls.Load() < 1200 {
-		t.Errorf("only %d RPCs were sent", calls.Load())
+		t.Errorf("only %d RPCs were sent, want 1200 at least", calls.Load())
 	}
-	t.Logf("%d RPCs over ten hand-overs, %d not ok", calls.Load(), failed.Load())
+	t.Logf("%d RPCs over ten hand-overs, %d not ok", calls.Load(), failures.Load())
 }
