--- a/clients/node/src/client.ts
+++ b/clients/node/src/client.ts
@@ -1,29 +1,31 @@
-// A client for mallowlanding's front ends: JSON-RPC 2.0 over Unix sockets, as docs/protocol.md words it.
+// A client of mallowlanding's front ends: JSON-RPC 2.0 over Unix sockets, as specified in docs/protocol.md.
 //
-// It keeps one connection to one of several front ends, sends RPCs without waiting for others' answers, goes on to the
-// next front end when one is lost, and repeats an RPC only where that is harmless: any that was never sent or was
-// denied; idempotent ones, and tokened ones of the group of all within their window, also when they may have run.
+// It keeps one connection, to one of several front ends, on which it sends RPCs without waiting for the answers of
+// earlier ones. When the connection is lost it connects to the next front end. It repeats an RPC only where that is
+// harmless: if it was never sent or was denied, whatever its method; if it may have run, only if its method is
+// idempotent, or is tokened with the group "all" and its window has not passed.
 
 import { createConnection, type Socket } from "node:net";
 import { setTimeout as sleep } from "node:timers/promises";
 
-/** What running an RPC twice would do. */
+/** Which RPCs of a method may run twice. */
 export interface Effect {
+  /** An RPC may run any number of times. */
   idempotent?: boolean;
-  /** Tokened, of the group of all: a repeat within so many ms has no effect. */
+  /** Tokened, with group "all": a repeat within this time in ms has no effect. */
   windowMs?: number;
 }
 
 export interface Options {
-  /** Sockets of front ends, the first to be tried first. */
+  /** Sockets of the front ends, in the order in which they are tried. */
   sockets: string[];
-  /** By method; what is not here must never run twice. */
+  /** By method; RPCs of methods that are not listed must never run twice. */
   methods?: Record<string, Effect>;
-  /** At most so many repeats after the first try. */
-  repeats?: number;
-  /** First pause before a repeat in ms, doubling, each drawn from half to one and a half of it. */
-  backOffMs?: number;
-  /** Draws the pauses: from 0 up to 1. */
+  /** Repeats after the first try; by default none. */
+  maxRepeats?: number;
+  /** Pause before the first repeat in ms, then doubling, with ±50% jitter; by default 50. */
+  backoffMs?: number;
+  /** Source of the jitter: random numbers from 0 up to 1, exclusive; by default Math.random. */
   random?: () => number;
 }
 
@@ -35,35 +37,35 @@
   payload?: unknown;
   /** How long the client waits, in ms; by default the method's deadline. */
   timeMs?: number;
-  /** Its abort has the RPC cancelled. */
+  /** Aborting it cancels the RPC. */
   signal?: AbortSignal;
 }
 
-/** A retry is harmless, after comeBackMs where that is told. */
+/** The RPC was denied: a retry is harmless, but not before retryAfterMs has passed, if it is set. */
 export class Denied extends Error {
-  constructor(message: string, readonly comeBackMs?: number) { super(message); this.name = "Denied"; }
+  constructor(message: string, readonly retryAfterMs?: number) { super(message); this.name = "Denied"; }
 }
-/** It may have run; nothing is promised. */
+/** The RPC was aborted: it may have run, and nothing is promised about its effect. */
 export class Aborted extends Error {
   constructor(readonly reason: string) { super("aborted: " + reason); this.name = "Aborted"; }
 }
-/** An error of the one who asks: JSON-RPC's code, or -32003 for a peer that may not. */
+/** The front end rejected the RPC as wrong: the code is one of JSON-RPC, or -32003 if the client lacks permission. */
 export class Refused extends Error {
   constructor(readonly code: number, message: string) { super(`${message} (${code})`); this.name = "Refused"; }
 }
-/** No front end could be reached: it never ran. */
+/** The RPC was not sent, since no front end could be reached: it never ran. */
 export class Unsent extends Error {
   constructor(message: string) { super("not sent: " + message); this.name = "Unsent"; }
 }
-/** The connection broke: it may have run. */
+/** The connection was lost: the RPC may have run. */
 export class Lost extends Error {
-  constructor(message: string) { super("connection lost, it may have run: " + message); this.name = "Lost"; }
+  constructor(message: string) { super("connection lost, the RPC may have run: " + message); this.name = "Lost"; }
 }
 
-interface Waiter { resolve(value: unknown): void; reject(err: Error): void }
+interface PendingCall { resolve(value: unknown): void; reject(err: Error): void }
 interface Message { id?: string | number | null; result?: unknown; error?: { code: number; message: string; data?: Record<string, unknown> } }
 
-function failure(e: NonNullable<Message["error"]>): Error {
+function toError(e: NonNullable<Message["error"]>): Error {
   switch (e.code) {
     case -32001: {
       const ms = e.data?.["come_back_ms"];
@@ -77,18 +79,18 @@
   }
 }
 
-/** One connection. */
+/** A connection to a front end. */
 class Connection {
-  private last = 0;
-  private readonly waiting = new Map<number, Waiter>();
-  private parts: Buffer[] = [];
+  private lastId = 0;
+  private readonly pending = new Map<number, PendingCall>();
+  private partialLine: Buffer[] = [];
   ended?: Error;
 
   constructor(private readonly socket: Socket) {
     socket.on("data", (data: Buffer) => this.read(data));
     socket.on("error", (err) => this.end(err));
     socket.on("close", () => this.end(new Error("closed")));
-    // the front end takes no more; what is out is still answered
+    // the front end accepts nothing more; RPCs in flight are still answered
     socket.on("end", () => { this.ended ??= new Error("closed by the front end"); });
   }
 
@@ -101,12 +103,12 @@
   }
 
   expect(): { id: number; answer: Promise<unknown> } {
-    const id = ++this.last;
+    const id = ++this.lastId;
     const answer = new Promise<unknown>((resolve, reject) => {
       if (this.ended) reject(new Unsent(this.ended.message));
-      else this.waiting.set(id, { resolve, reject });
+      else this.pending.set(id, { resolve, reject });
     });
-    answer.catch(() => {}); // who waits sees it
+    answer.catch(() => {}); // the caller handles it; this only prevents an unhandled rejection
     return { id, answer };
   }
 
@@ -118,75 +120,76 @@
 
   private read(data: Buffer): void {
     for (let at = data.indexOf(10); at >= 0; at = data.indexOf(10)) {
-      const line = Buffer.concat([...this.parts, data.subarray(0, at)]).toString("utf8");
-      this.parts = [];
+      const line = Buffer.concat([...this.partialLine, data.subarray(0, at)]).toString("utf8");
+      this.partialLine = [];
       data = data.subarray(at + 1);
       if (line.trim() === "") continue;
       let value: Message | Message[];
       try { value = JSON.parse(line) as Message | Message[]; } catch (err) { this.socket.destroy(err as Error); return; }
-      for (const m of Array.isArray(value) ? value : [value]) this.answered(m);
+      for (const m of Array.isArray(value) ? value : [value]) this.handleResponse(m);
     }
-    if (data.length > 0) this.parts.push(data);
+    if (data.length > 0) this.partialLine.push(data);
   }
 
-  private answered(m: Message): void {
+  private handleResponse(m: Message): void {
     if (m.id === null && m.error) {
-      // the connection itself is turned away: what is out on it never ran; of any other, which one it was can't be told
-      const turnedAway = m.error.code === -32001 || m.error.code === -32003;
-      const err = failure(m.error);
-      if (turnedAway) for (const w of this.takeAll()) w.reject(err);
+      // -32001 and -32003: the front end refused the connection, so RPCs in flight on it never ran; with any other code
+      // there is no way to know which RPC the error is for
+      const refused = m.error.code === -32001 || m.error.code === -32003;
+      const err = toError(m.error);
+      if (refused) for (const call of this.takePending()) call.reject(err);
       else this.socket.destroy(err);
       return;
     }
-    const w = this.waiting.get(m.id as number);
-    if (!w) return;
-    this.waiting.delete(m.id as number);
-    if (m.error) w.reject(failure(m.error));
-    else w.resolve(m.result);
+    const call = this.pending.get(m.id as number);
+    if (!call) return;
+    this.pending.delete(m.id as number);
+    if (m.error) call.reject(toError(m.error));
+    else call.resolve(m.result);
   }
 
-  private takeAll(): Waiter[] {
-    const all = [...this.waiting.values()];
-    this.waiting.clear();
+  private takePending(): PendingCall[] {
+    const all = [...this.pending.values()];
+    this.pending.clear();
     return all;
   }
 
   private end(err: Error): void {
     this.ended ??= err;
-    for (const w of this.takeAll()) w.reject(new Lost(err.message));
+    for (const call of this.takePending()) call.reject(new Lost(err.message));
   }
 }
 
 export class Client {
   private connection: Promise<Connection> | undefined;
-  private at = 0;
+  private current = 0;
   private closed = false;
 
   constructor(private readonly options: Options) {
     if (options.sockets.length === 0) throw new RangeError("options.sockets is empty");
   }
 
-  /** Ends the connection; RPCs out on it end as lost. */
+  /** Closes the connection; RPCs in flight on it end with Lost. */
   async close(): Promise<void> {
     this.closed = true;
     (await this.connection?.catch(() => undefined))?.close();
   }
 
-  /** Sends an RPC and gives the worker's value. */
+  /** Sends an RPC, repeats it where that is harmless, and returns the worker's value. */
   async call(rpc: RPC): Promise<unknown> {
     const effect = this.options.methods?.[rpc.method] ?? {};
-    const repeats = this.options.repeats ?? 0;
-    let mayHaveRun: number | undefined; // since when
+    const maxRepeats = this.options.maxRepeats ?? 0;
+    let mayHaveRunSince: number | undefined; // when a try that may have run ended first
     for (let repeat = 0; ; repeat++) {
       try {
-        return await this.once(rpc, repeat > 0);
+        return await this.sendOnce(rpc, repeat > 0);
       } catch (err) {
-        if (repeat >= repeats || rpc.signal?.aborted) throw err;
-        let wait = (this.options.backOffMs ?? 50) * 2 ** Math.min(repeat, 10);
-        if (err instanceof Denied) wait = err.comeBackMs ?? wait;
+        if (repeat >= maxRepeats || rpc.signal?.aborted) throw err;
+        let wait = (this.options.backoffMs ?? 50) * 2 ** Math.min(repeat, 10);
+        if (err instanceof Denied) wait = err.retryAfterMs ?? wait;
         else if (err instanceof Lost || err instanceof Aborted) {
-          mayHaveRun ??= Date.now();
-          const inWindow = Date.now() - mayHaveRun + wait * 1.5 < (effect.windowMs ?? 0);
+          mayHaveRunSince ??= Date.now();
+          const inWindow = Date.now() - mayHaveRunSince + wait * 1.5 < (effect.windowMs ?? 0);
           if (!effect.idempotent && !inWindow) throw err;
         } else if (!(err instanceof Unsent)) throw err;
         await sleep(wait * (0.5 + (this.options.random ?? Math.random)()), undefined, { signal: rpc.signal }).catch(() => { throw err; });
@@ -194,34 +197,34 @@
     }
   }
 
-  /** Sends RPCs as one JSON-RPC batch, once; results stand in the RPCs' order. */
+  /** Sends RPCs as one JSON-RPC batch, and repeats none of them. The results are in the order of the RPCs. */
   async batch(rpcs: RPC[]): Promise<PromiseSettledResult<unknown>[]> {
     if (rpcs.length === 0) return [];
     const c = await this.connect();
     const parts = rpcs.map((rpc) => ({ rpc, ...c.expect() }));
-    c.write(parts.map(({ rpc, id }) => request(id, rpc, false)));
+    c.write(parts.map(({ rpc, id }) => buildRequest(id, rpc, false)));
     return Promise.allSettled(parts.map((p) => p.answer));
   }
 
-  private async once(rpc: RPC, repeat: boolean): Promise<unknown> {
+  private async sendOnce(rpc: RPC, repeat: boolean): Promise<unknown> {
     rpc.signal?.throwIfAborted();
     const c = await this.connect();
     const { id, answer } = c.expect();
-    c.write(request(id, rpc, repeat));
-    const cancel = () => c.cancel(id); // its one answer still comes
+    c.write(buildRequest(id, rpc, repeat));
+    const cancel = () => c.cancel(id); // its final answer still comes
     rpc.signal?.addEventListener("abort", cancel, { once: true });
     try { return await answer; } finally { rpc.signal?.removeEventListener("abort", cancel); }
   }
 
   private async connect(): Promise<Connection> {
     if (this.closed) throw new Unsent("the client is closed");
-    const now = await this.connection?.catch(() => undefined);
-    if (now && !now.ended) return now;
-    const fresh = this.connection;
-    if (fresh) { // another call may be connecting anew already
-      const again = await fresh.catch(() => undefined);
-      if (again && !again.ended) return again;
-      if (fresh !== this.connection) return this.connect();
+    const open = await this.connection?.catch(() => undefined);
+    if (open && !open.ended) return open;
+    const latest = this.connection;
+    if (latest) { // another call may have opened a new connection meanwhile
+      const reopened = await latest.catch(() => undefined);
+      if (reopened && !reopened.ended) return reopened;
+      if (latest !== this.connection) return this.connect();
     }
     this.connection = this.open();
     return this.connection;
@@ -229,21 +232,21 @@
 
   private async open(): Promise<Connection> {
     const { sockets } = this.options;
-    const failed: string[] = [];
+    const errors: string[] = [];
     for (let i = 0; i < sockets.length; i++) {
-      const at = (this.at + i) % sockets.length;
+      const index = (this.current + i) % sockets.length;
       try {
-        const c = await Connection.open(sockets[at]!);
-        this.at = at;
+        const c = await Connection.open(sockets[index]!);
+        this.current = index;
         return c;
-      } catch (err) { failed.push((err as Error).message); }
+      } catch (err) { errors.push((err as Error).message); }
     }
-    this.at++;
-    throw new Unsent(failed.join("; "));
+    this.current++;
+    throw new Unsent(errors.join("; "));
   }
 }
 
-function request(id: number, rpc: RPC, repeat: boolean): unknown {
+function buildRequest(id: number, rpc: RPC, repeat: boolean): unknown {
   return {
     jsonrpc: "2.0", id, method: rpc.method,
     params: {
--- a/clients/node/test/client.test.ts
+++ b/clients/node/test/client.test.ts
@@ -7,11 +7,11 @@
 import { after, test } from "node:test";
 import { Aborted, Client, Denied, Lost, Refused, Unsent } from "../src/client.js";
 
-// A scripted front end: what answers is given by each test.
-type Ask = { id: number; method: string; params: Record<string, unknown> };
+// A scripted front end; each test says how it responds to requests.
+type Request = { id: number; method: string; params: Record<string, unknown> };
 const dir = mkdtempSync(join(tmpdir(), "ml"));
 const servers: Server[] = [];
-function front(name: string, on: (ask: Ask, socket: Socket) => void): Promise<{ path: string; server: Server; sockets: Set<Socket> }> {
+function startFrontEnd(name: string, onRequest: (request: Request, socket: Socket) => void): Promise<{ path: string; server: Server; sockets: Set<Socket> }> {
   const path = join(dir, name + ".sock"), sockets = new Set<Socket>();
   const server = createServer((socket) => {
     sockets.add(socket);
@@ -20,7 +20,7 @@
     socket.on("data", (data) => {
       const lines = (rest + data.toString()).split("\n");
       rest = lines.pop() ?? "";
-      for (const line of lines) for (const ask of [JSON.parse(line)].flat()) on(ask as Ask, socket);
+      for (const line of lines) for (const request of [JSON.parse(line)].flat()) onRequest(request as Request, socket);
     });
   });
   servers.push(server);
@@ -33,12 +33,12 @@
 
 after(() => { for (const s of servers) s.close(); rmSync(dir, { recursive: true }); });
 
-test("answers in any order, in any pieces", async () => {
-  const asks: Ask[] = [];
-  const f = await front("order", (ask, s) => {
-    asks.push(ask);
-    if (asks.length < 2) return;
-    const text = asks.reverse().map((a) => JSON.stringify({ jsonrpc: "2.0", id: a.id, result: a.params["function"] + "é" }) + "\n").join("");
+test("answers may come in any order and in pieces of any size", async () => {
+  const requests: Request[] = [];
+  const f = await startFrontEnd("order", (request, s) => {
+    requests.push(request);
+    if (requests.length < 2) return;
+    const text = requests.reverse().map((a) => JSON.stringify({ jsonrpc: "2.0", id: a.id, result: a.params["function"] + "é" }) + "\n").join("");
     for (const byte of Buffer.from(text)) s.write(Buffer.from([byte]));
   });
   const c = new Client({ sockets: [f.path] });
@@ -46,17 +46,17 @@
   await c.close();
 });
 
-test("a denied RPC is repeated once its time to come back is over; an aborted one only where that is harmless", async () => {
+test("a denied RPC is repeated after the pause that the front end asks for; an aborted one only where that is harmless", async () => {
   const seen: string[] = [];
-  const f = await front("repeat", (ask, s) => {
-    seen.push(`${ask.method} ${ask.params["repeat"] ?? false}`);
-    if (ask.params["repeat"]) result(s, ask.id, "ok");
-    else error(s, ask.id, ask.method === "denied" ? -32001 : -32002, { come_back_ms: 30, cause: "w" });
+  const f = await startFrontEnd("repeat", (request, s) => {
+    seen.push(`${request.method} ${request.params["repeat"] ?? false}`);
+    if (request.params["repeat"]) result(s, request.id, "ok");
+    else error(s, request.id, request.method === "denied" ? -32001 : -32002, { come_back_ms: 30, cause: "w" });
   });
-  const c = new Client({ sockets: [f.path], repeats: 1, backOffMs: 1, random, methods: { idempotent: { idempotent: true }, tokened: { windowMs: 1000 }, late: { windowMs: 1 } } });
-  const began = Date.now();
+  const c = new Client({ sockets: [f.path], maxRepeats: 1, backoffMs: 1, random, methods: { idempotent: { idempotent: true }, tokened: { windowMs: 1000 }, late: { windowMs: 1 } } });
+  const start = Date.now();
   assert.equal(await c.call({ method: "denied", function: "f" }), "ok");
-  assert.ok(Date.now() - began >= 29);
+  assert.ok(Date.now() - start >= 29);
   assert.equal(await c.call({ method: "idempotent", function: "f" }), "ok");
   assert.equal(await c.call({ method: "tokened", function: "f", token: "t" }), "ok");
   await assert.rejects(c.call({ method: "late", function: "f", token: "t" }), Aborted);
@@ -65,58 +65,58 @@
   await c.close();
 });
 
-test("an abort cancels, and the one answer is given", async () => {
-  let open: Ask | undefined;
-  const f = await front("cancel", (ask, s) => {
-    if (ask.method !== "rpc.cancel") { open = ask; return; }
-    assert.equal(ask.params["id"], open?.id);
+test("aborting the signal cancels the RPC, which still gets its final answer", async () => {
+  let open: Request | undefined;
+  const f = await startFrontEnd("cancel", (request, s) => {
+    if (request.method !== "rpc.cancel") { open = request; return; }
+    assert.equal(request.params["id"], open?.id);
     error(s, open!.id, -32002, { cause: "cancelled by its client" });
   });
-  const c = new Client({ sockets: [f.path], repeats: 3, methods: { m: { idempotent: true } } });
-  const abort = new AbortController();
-  setTimeout(() => abort.abort(), 30);
-  await assert.rejects(c.call({ method: "m", function: "f", signal: abort.signal }), Aborted);
+  const c = new Client({ sockets: [f.path], maxRepeats: 3, methods: { m: { idempotent: true } } });
+  const controller = new AbortController();
+  setTimeout(() => controller.abort(), 30);
+  await assert.rejects(c.call({ method: "m", function: "f", signal: controller.signal }), Aborted);
   await c.close();
 });
 
-test("a lost connection: what may have run is lost, what was not sent goes to the next front end", async () => {
-  const a = await front("first", (_, s) => s.destroy());
-  const b = await front("second", (ask, s) => result(s, ask.id, "b"));
-  const c = new Client({ sockets: [a.path, b.path], repeats: 2, backOffMs: 1, methods: { safe: { idempotent: true } } });
+test("a lost connection: an RPC that may have run ends with Lost, one that was not sent goes to the next front end", async () => {
+  const a = await startFrontEnd("first", (_, s) => s.destroy());
+  const b = await startFrontEnd("second", (request, s) => result(s, request.id, "b"));
+  const c = new Client({ sockets: [a.path, b.path], maxRepeats: 2, backoffMs: 1, methods: { safe: { idempotent: true } } });
   await assert.rejects(c.call({ method: "unsafe", function: "f" }), Lost);
   a.server.close();
   assert.equal(await c.call({ method: "safe", function: "f" }), "b");
-  const nobody = new Client({ sockets: [join(dir, "none.sock")], repeats: 1, backOffMs: 1 });
-  await assert.rejects(nobody.call({ method: "safe", function: "f" }), Unsent);
+  const unreachable = new Client({ sockets: [join(dir, "none.sock")], maxRepeats: 1, backoffMs: 1 });
+  await assert.rejects(unreachable.call({ method: "safe", function: "f" }), Unsent);
   await c.close();
 });
 
-test("a batch, and a connection that is turned away", async () => {
-  const f = await front("batch", (ask, s) => (ask.method === "m" ? result(s, ask.id, 1) : error(s, ask.id, -32601)));
+test("a batch, and a connection that is refused", async () => {
+  const f = await startFrontEnd("batch", (request, s) => (request.method === "m" ? result(s, request.id, 1) : error(s, request.id, -32601)));
   const c = new Client({ sockets: [f.path] });
   const [one, two] = await c.batch([{ method: "m", function: "f" }, { method: "none", function: "f" }]);
   assert.deepEqual(one, { status: "fulfilled", value: 1 });
   assert.ok(two?.status === "rejected" && two.reason instanceof Refused && two.reason.code === -32601);
   await c.close();
-  const full = await front("full", (_, s) => { error(s, null, -32001); s.end(); });
+  const full = await startFrontEnd("full", (_, s) => { error(s, null, -32001); s.end(); });
   const d = new Client({ sockets: [full.path] });
   await assert.rejects(d.call({ method: "m", function: "f" }), Denied);
   await d.close();
 });
 
-// Against the program itself, where MALLOWLANDING names it.
-test("three RPCs held when the front end is killed are lost, and each hears it once", { skip: process.env["MALLOWLANDING"] ? false : "set MALLOWLANDING to the program" }, async () => {
+// Runs against the program itself, if the environment variable MALLOWLANDING names it.
+test("three RPCs in flight when the front end is killed each end once, with Lost", { skip: process.env["MALLOWLANDING"] ? false : "set MALLOWLANDING to the program" }, async () => {
   const demo: ChildProcess = spawn(process.env["MALLOWLANDING"]!, ["demo", "--dir", join(dir, "demo")], { stdio: ["ignore", "pipe", "ignore"] });
   const path = await new Promise<string>((resolve) => demo.stdout!.once("data", (d: Buffer) => resolve(d.toString().trim().split(" ")[1]!)));
   const c = new Client({ sockets: [path], methods: { query: { idempotent: true } } });
   assert.deepEqual((await c.call({ method: "query", function: "f", payload: { n: 1 } }) as { payload: unknown }).payload, { n: 1 });
-  const held = ["x", "y", "z"].map((fn) => c.call({ method: "hold", function: fn }));
-  const ended = Promise.allSettled(held);
+  const inFlight = ["x", "y", "z"].map((fn) => c.call({ method: "hold", function: fn }));
+  const ended = Promise.allSettled(inFlight);
   await new Promise((r) => setTimeout(r, 20));
   const exited = new Promise((r) => demo.once("exit", r));
   demo.kill("SIGKILL");
   for (const r of await ended) assert.ok(r.status === "rejected" && r.reason instanceof Lost, JSON.stringify(r));
-  await exited; // until then its listener may still take a connection
+  await exited; // until then its listener may still accept a connection
   await assert.rejects(c.call({ method: "query", function: "f" }), Unsent);
   await c.close();
 });
