--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -194,8 +194,8 @@
 			if r.RPC == "" {
 				continue
 			}
-			p := locations[r.Source]
-			current := &callOut{Record: r, zone: p.zone, cell: p.cell}
+			loc := locations[r.Source]
+			current := &callOut{Record: r, zone: loc.zone, cell: loc.cell}
 			for _, c := range callOuts[r.RPC] {
 				if c.notRun || m.Effect == router.Idempotent {
 					continue
--- a/internal/standin/model.go
+++ b/internal/standin/model.go
@@ -321,28 +321,28 @@
 	return m.cfg.Machine.Stops != "nothing" && len(fn.waiting) == 0 && len(fn.orders) == 0
 }
 
-func (m *Model) finish(j *Job, a Response) {
+func (m *Model) finish(j *Job, response Response) {
 	m.timers.Stop(&j.timer)
-	m.finishOne(j, a)
+	m.finishOne(j, response)
 	for _, member := range j.batch {
 		member.response = j.response
-		m.finishOne(member, a)
+		m.finishOne(member, response)
 	}
 }
 
 // finishOne ends one RPC, not the other RPCs of its batch.
-func (m *Model) finishOne(j *Job, a Response) {
+func (m *Model) finishOne(j *Job, response Response) {
 	if j.finished {
 		return
 	}
 	j.finished = true
 	m.jobCount--
-	a.RPCsAtCopies = j.response.RPCsAtCopies
-	if a.Warmth == "" && a.Code == 0 {
-		a.Warmth = j.response.Warmth
+	response.RPCsAtCopies = j.response.RPCsAtCopies
+	if response.Warmth == "" && response.Code == 0 {
+		response.Warmth = j.response.Warmth
 	}
 	if m.now >= m.hangUntil {
-		j.Done(a)
+		j.Done(response)
 	}
 }
 
@@ -372,12 +372,12 @@
 			work *= m.slowFactor
 		}
 		j.coreSince = m.now
-		span := max(router.Time(work/(m.cfg.Machine.Speed*m.capacity())), 0)
-		if span == 0 {
+		duration := max(router.Time(work/(m.cfg.Machine.Speed*m.capacity())), 0)
+		if duration == 0 {
 			m.workDone(j)
 			continue
 		}
-		m.timers.Set(&j.timer, m.now+span, func(now router.Time) { m.now = now; m.workDone(j) })
+		m.timers.Set(&j.timer, m.now+duration, func(now router.Time) { m.now = now; m.workDone(j) })
 	}
 }
 
@@ -423,11 +423,11 @@
 	})
 }
 
-func (m *Model) releaseLane(j *Job, a Response) {
+func (m *Model) releaseLane(j *Job, response Response) {
 	fn := j.function
 	fn.active--
 	fn.lastUse = m.now
-	m.finish(j, a)
+	m.finish(j, response)
 	for fn.stale > 0 && fn.active <= (fn.loaded-1)*fn.lanes {
 		fn.stale--
 		fn.loaded--
@@ -636,8 +636,8 @@
 // Hanging reports whether the worker hangs now.
 func (m *Model) Hanging() bool { return m.now < m.hangUntil }
 
-// OverCapacity describes which limit of the worker is exceeded: memory, cores, or the lanes of a function. It returns an
-// empty string if none is. It is for tests of the model itself.
+// OverCapacity describes which limit of the worker is exceeded: memory, cores, or the lanes of a function. It returns
+// an empty string if none is. It is for tests of the model itself.
 func (m *Model) OverCapacity() string {
 	if used, _ := m.memoryUse(); used > m.cfg.Machine.Memory {
 		return fmt.Sprintf("holds %.0f of %.0f MB", used, m.cfg.Machine.Memory)
--- a/internal/standin/roster.go
+++ b/internal/standin/roster.go
@@ -39,7 +39,7 @@
 // rosterEntry is a worker as the roster reports it now, after its lag.
 type rosterEntry struct {
 	socket, zone, cell, kind, state string
-	life                            int64
+	life                            int64 // Unix time in ms of the worker's start, which distinguishes its runs
 	started                         router.Time
 	cold                            bool
 }
@@ -249,7 +249,7 @@
 
 // HandleRequest implements jsonrpc.Peer.
 func (c *storeConn) HandleRequest(id jsonrpc.ID, method string, params []byte) {
-	key := bytes.Clone(id)
+	requestID := bytes.Clone(id)
 	usual, _ := jsonrpc.ParseNumber(jsontext.Value(jsonrpc.Member(params, "usual_ms")))
 	window, _ := jsonrpc.ParseNumber(jsontext.Value(jsonrpc.Member(params, "window_ms")))
 	token := member(params, "group") + "\x00" + member(params, "token")
@@ -258,16 +258,16 @@
 		case "store.fetch":
 			c.s.Fetch(c.s.loop.Now(), router.Time(usual*10), func(ok bool) {
 				if ok {
-					c.conn.Write(jsonrpc.AppendResult(nil, key, []byte("true")))
+					c.conn.Write(jsonrpc.AppendResult(nil, requestID, []byte("true")))
 					return
 				}
-				c.conn.Write(jsonrpc.AppendError(nil, key, codeFull, "turned away", nil))
+				c.conn.Write(jsonrpc.AppendError(nil, requestID, codeFull, "turned away", nil))
 			})
 		case "token.claim":
 			first := c.s.ClaimToken(c.s.loop.Now(), token, router.Time(window*10))
-			c.conn.Write(jsonrpc.AppendResult(nil, key, strconv.AppendBool(nil, first)))
+			c.conn.Write(jsonrpc.AppendResult(nil, requestID, strconv.AppendBool(nil, first)))
 		default:
-			c.conn.Write(jsonrpc.AppendError(nil, key, jsonrpc.MethodNotFound, "no such method", nil))
+			c.conn.Write(jsonrpc.AppendError(nil, requestID, jsonrpc.MethodNotFound, "no such method", nil))
 		}
 	})
 }
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -78,14 +78,14 @@
 	if err != nil {
 		return err
 	}
-	life, end := context.WithCancelCause(context.Background())
+	lifeCtx, end := context.WithCancelCause(context.Background())
 	defer end(nil)
 	w := &worker{cfg: cfg, log: log.With().Str("worker", cfg.Name).Logger(), records: records, loop: eventloop.NewLoop(), end: end,
 		frontEnds: map[*frontEndConn]bool{}}
 	w.model = NewModel(cfg, w, &w.timers, w.loop.Now())
 	w.scheduleHousekeeping(w.loop.Now())
 	var group errgroup.Group
-	if w.store, err = dial(life, &group, storeSocket(cfg), nil); err != nil {
+	if w.store, err = dial(lifeCtx, &group, storeSocket(cfg), nil); err != nil {
 		l.Close()
 		return err
 	}
@@ -98,8 +98,8 @@
 		l.Close()
 		return err
 	}
-	group.Go(func() error { w.loop.Run(life, w); return nil })
-	group.Go(func() error { return accept(life, l, w.serve) })
+	group.Go(func() error { w.loop.Run(lifeCtx, w); return nil })
+	group.Go(func() error { return accept(lifeCtx, l, w.serve) })
 	if cfg.Control != "" {
 		cl, err := clients.Listen(cfg.Control, 0o600)
 		if err != nil {
@@ -107,10 +107,10 @@
 			_ = group.Wait()
 			return err
 		}
-		group.Go(func() error { return accept(life, cl, w.control) })
+		group.Go(func() error { return accept(lifeCtx, cl, w.control) })
 	}
 	if cfg.Roster != nil {
-		if w.roster, err = dial(life, &group, cfg.Roster.Socket, nil); err != nil {
+		if w.roster, err = dial(lifeCtx, &group, cfg.Roster.Socket, nil); err != nil {
 			end(err)
 			_ = group.Wait()
 			return err
@@ -122,15 +122,15 @@
 		ready()
 	}
 	select {
-	case <-life.Done():
+	case <-lifeCtx.Done():
 	case <-ctx.Done():
 		w.log.Info().Msg("worker draining")
 		w.loop.Post(w.drain)
-		w.waitIdle(life, drain)
+		w.waitIdle(lifeCtx, drain)
 	}
 	end(nil)
 	_ = group.Wait()
-	if cause := context.Cause(life); cause != nil && !errors.Is(cause, context.Canceled) {
+	if cause := context.Cause(lifeCtx); cause != nil && !errors.Is(cause, context.Canceled) {
 		return cause
 	}
 	return nil
@@ -236,7 +236,7 @@
 type frontEndConn struct {
 	requestHandler
 	w      *worker
-	name   string          // the front end's; used by the goroutine that reads
+	name   string          // the front end's; set by the goroutine that reads
 	binary atomic.Bool     // CBOR frames are used in both directions
 	jobs   map[string]*Job // by request id; used on the event loop
 }
@@ -303,7 +303,7 @@
 		h.batch(params, blob)
 		return
 	}
-	w, key := h.w, bytes.Clone(id)
+	w, requestID := h.w, bytes.Clone(id)
 	var j Job
 	var timeMS, copies float64
 	var cancelID jsontext.Value
@@ -344,10 +344,10 @@
 		h.binary.Store(true)
 	case "host.request":
 		j.Blob = blob
-		h.register(key, &j)
+		h.register(requestID, &j)
 		w.loop.Post(func() {
 			j.Deadline = w.loop.Now() + router.Time(timeMS*10)
-			h.jobs[string(key)] = &j
+			h.jobs[string(requestID)] = &j
 			w.model.Submit(&j)
 		})
 	case "host.hold":
@@ -355,13 +355,13 @@
 			w.addRecord(record.Record{Kind: record.LoadOrdered, Source: w.cfg.Name, FrontEnd: h.name, Function: j.Function, N: int(copies)})
 		}
 		w.loop.Post(func() {
-			w.model.OrderLoad(string(key), j.Function, int(copies), j.Memory, j.Lanes, j.LoadTime, func(code, loaded int) {
+			w.model.OrderLoad(string(requestID), j.Function, int(copies), j.Memory, j.Lanes, j.LoadTime, func(code, loaded int) {
 				data := append(strconv.AppendInt([]byte(`{"copies":`), int64(loaded), 10), '}')
 				if code == 0 {
-					h.respondResult(key, data, nil)
+					h.respondResult(requestID, data, nil)
 					return
 				}
-				h.respondError(key, code, "copies can't be held", data)
+				h.respondError(requestID, code, "copies can't be held", data)
 			})
 		})
 	case "host.call_off":
@@ -374,21 +374,21 @@
 		})
 	case "host.ping":
 		w.loop.Post(func() {
-			if len(key) > 0 && w.model.now >= w.model.hangUntil {
-				h.respondResult(key, append(w.appendReport([]byte("{")), '}'), nil)
+			if len(requestID) > 0 && w.model.now >= w.model.hangUntil {
+				h.respondResult(requestID, append(w.appendReport([]byte("{")), '}'), nil)
 			}
 		})
 	case "host.shutdown":
 		h.conn.Close()
 	default:
-		if len(key) > 0 {
-			h.respondError(key, jsonrpc.MethodNotFound, fmt.Sprintf("no method %.80q", method), nil)
+		if len(requestID) > 0 {
+			h.respondError(requestID, jsonrpc.MethodNotFound, fmt.Sprintf("no method %.80q", method), nil)
 		}
 	}
 }
 
-// register records a request that came, and sets where its response is sent.
-func (h *frontEndConn) register(key []byte, j *Job) {
+// register records a received request, and sets j.Done to send the response.
+func (h *frontEndConn) register(requestID []byte, j *Job) {
 	w := h.w
 	j.Mark = clientMark(j.Payload)
 	r := requestRecord(j, h.name)
@@ -397,17 +397,17 @@
 		r.WorkMS = float64(m.Mean) / 10
 	}
 	w.addRecord(r)
-	j.Done = func(a Response) {
-		delete(h.jobs, string(key))
-		w.addRecord(record.Record{Kind: record.RequestEnded, Source: w.cfg.Name, FrontEnd: h.name, RPC: j.Mark, N: a.Code})
-		h.respond(key, j, a)
+	j.Done = func(response Response) {
+		delete(h.jobs, string(requestID))
+		w.addRecord(record.Record{Kind: record.RequestEnded, Source: w.cfg.Name, FrontEnd: h.name, RPC: j.Mark, N: response.Code})
+		h.respond(requestID, j, response)
 	}
 }
 
 // batch accepts a batch of requests, each with its own id and its part of the blob.
 func (h *frontEndConn) batch(params, blob []byte) {
 	var jobs []*Job
-	var keys []string
+	var requestIDs []string
 	var timeouts []router.Time
 	err := tensor.ForEachObject(jsonrpc.Member(params, "requests"), "requests", func(part jsontext.Value) error {
 		number := func(name string) float64 { n, _ := jsonrpc.ParseNumber(jsonrpc.Member(part, name)); return n }
@@ -419,9 +419,9 @@
 			Memory: number("memory_mb"), Lanes: int(number("lanes")), LoadTime: router.Time(number("load_ms") * 10),
 			Payload: bytes.Clone(jsonrpc.Member(part, "payload")), Blob: blob[:size:size]}
 		blob = blob[size:]
-		key := bytes.Clone(jsonrpc.Member(part, "id"))
-		h.register(key, j)
-		jobs, keys, timeouts = append(jobs, j), append(keys, string(key)), append(timeouts, router.Time(number("time_ms")*10))
+		requestID := bytes.Clone(jsonrpc.Member(part, "id"))
+		h.register(requestID, j)
+		jobs, requestIDs, timeouts = append(jobs, j), append(requestIDs, string(requestID)), append(timeouts, router.Time(number("time_ms")*10))
 		return nil
 	})
 	if err != nil || len(jobs) == 0 {
@@ -432,7 +432,7 @@
 	h.w.loop.Post(func() {
 		for i, j := range jobs {
 			j.Deadline = h.w.loop.Now() + timeouts[i]
-			h.jobs[keys[i]] = j
+			h.jobs[requestIDs[i]] = j
 		}
 		h.w.model.SubmitBatch(jobs)
 	})
@@ -451,17 +451,17 @@
 
 // respond sends the response to an RPC. The value of an infer request is the model's output, that of any other RPC is
 // {"worker": NAME, "payload": PAYLOAD}.
-func (h *frontEndConn) respond(id jsonrpc.ID, j *Job, a Response) {
-	b := append(strconv.AppendInt([]byte(`{"crowd":`), int64(a.RPCsAtCopies), 10), ',')
-	if a.Warmth != "" {
-		b = append(jsonrpc.AppendString(append(b, `"warmth":`...), a.Warmth), ',')
+func (h *frontEndConn) respond(id jsonrpc.ID, j *Job, response Response) {
+	b := append(strconv.AppendInt([]byte(`{"crowd":`), int64(response.RPCsAtCopies), 10), ',')
+	if response.Warmth != "" {
+		b = append(jsonrpc.AppendString(append(b, `"warmth":`...), response.Warmth), ',')
 	}
 	b = h.w.appendReport(b)
-	if a.Code != 0 {
-		h.respondError(id, a.Code, a.Message, append(b, '}'))
+	if response.Code != 0 {
+		h.respondError(id, response.Code, response.Message, append(b, '}'))
 		return
 	}
-	if a.Repeat {
+	if response.Repeat {
 		b = append(b, `,"repeat":true`...)
 	}
 	if value, blob, isInfer, err := runModel(j.Payload, j.Blob); isInfer {
@@ -548,7 +548,7 @@
 
 // HandleRequest implements jsonrpc.Peer.
 func (c *controlConn) HandleRequest(id jsonrpc.ID, method string, params []byte) {
-	w, key := c.w, bytes.Clone(id)
+	w, requestID := c.w, bytes.Clone(id)
 	number := func(name string) float64 {
 		n, _ := jsonrpc.ParseNumber(jsonrpc.Member(params, name))
 		return n
@@ -582,13 +582,13 @@
 	case "fault.close":
 		inject = func() { w.eachFrontEnd(func(h *frontEndConn) { h.conn.Close() }) }
 	default:
-		c.conn.Write(jsonrpc.AppendError(nil, key, jsonrpc.MethodNotFound, fmt.Sprintf("no fault %.80q", method), nil))
+		c.conn.Write(jsonrpc.AppendError(nil, requestID, jsonrpc.MethodNotFound, fmt.Sprintf("no fault %.80q", method), nil))
 		return
 	}
 	w.loop.Post(func() {
 		w.log.Info().Str("fault", method).Float64("size", size).Dur("for", eventloop.ToDuration(span)).Msg("injecting a fault")
 		inject()
-		c.conn.Write(jsonrpc.AppendResult(nil, key, []byte("true")))
+		c.conn.Write(jsonrpc.AppendResult(nil, requestID, []byte("true")))
 	})
 }
 
