--- a/internal/emulate/client.go
+++ b/internal/emulate/client.go
@@ -61,7 +61,7 @@
 		w.after(w.delay(), func() { t.end(scenario.Lost, false, 0) })
 		return
 	}
-	t.addRecord(record.Sent, "")
+	t.addRecord(record.RPCSent, "")
 	p := dispatch.Params{Method: f.methods[c.Method.Name], Function: c.arrival.Function, Customer: c.arrival.Mix.Customer, TimeoutMS: t.timeoutMs,
 		Payload: []byte(t.mark), Repeat: repeat}
 	if c.Method.Effect == router.Tokened {
@@ -87,7 +87,7 @@
 	}
 	w := t.client.w
 	t.clientLeft = true
-	t.addRecord(record.Quit, "")
+	t.addRecord(record.ClientLeft, "")
 	if closes { // no answer can arrive any more
 		delete(t.frontEnd.openAttempts, t)
 	}
@@ -106,8 +106,8 @@
 
 func (t *attempt) addRecord(kind, outcome string) {
 	m := t.client.Method
-	t.client.w.addRecord(record.Record{Who: "client", FrontEnd: t.frontEnd.name(), RPC: t.mark, Method: m.Name, Function: t.client.arrival.Function,
-		Token: t.client.Token, Time: t.timeoutMs, Kind: kind, Outcome: outcome})
+	t.client.w.addRecord(record.Record{Source: "client", FrontEnd: t.frontEnd.name(), RPC: t.mark, Method: m.Name, Function: t.client.arrival.Function,
+		Token: t.client.Token, DurationMS: t.timeoutMs, Kind: kind, Outcome: outcome})
 }
 
 // deliverAnswer carries the front end's answer to the client after a network delay, even if the client has left.
@@ -118,7 +118,7 @@
 			return
 		}
 		delete(t.frontEnd.openAttempts, t)
-		t.addRecord(record.Answer, outcome)
+		t.addRecord(record.RPCAnswered, outcome)
 		t.end(outcome, true, eventloop.ToDuration(retryAfter))
 	})
 }
@@ -126,7 +126,7 @@
 // connectionLost handles the end of the front end's process while the RPC was open.
 func (t *attempt) connectionLost() {
 	if !t.clientLeft {
-		t.addRecord(record.Lost, "")
+		t.addRecord(record.ConnectionLost, "")
 	}
 	t.end(scenario.Lost, true, 0)
 }
--- a/internal/emulate/emulate_test.go
+++ b/internal/emulate/emulate_test.go
@@ -97,7 +97,7 @@
 			trouble.Kind, trouble.Size = kind, x.size
 			s.Troubles = []settings.Trouble{trouble}
 			r := run(t, &s)
-			for _, b := range r.Audit.Breaks {
+			for _, b := range r.Audit.Violations {
 				t.Errorf("rule %d, %s: %s", b.Rule, b.RPC, b.Text)
 			}
 			if all := r.All(); x.hasSymptom != nil && !x.hasSymptom(all) {
@@ -121,7 +121,7 @@
 		t.Run(filepath.Base(file), func(t *testing.T) {
 			t.Parallel()
 			r := run(t, s)
-			for _, b := range r.Audit.Breaks {
+			for _, b := range r.Audit.Violations {
 				t.Errorf("rule %d, %s: %s", b.Rule, b.RPC, b.Text)
 			}
 			if r.Audit.Answers < 1000 || r.GainShare() < 0.5 {
@@ -136,7 +136,7 @@
 func TestShapeChange(t *testing.T) {
 	s := read(t, "../../examples/move.xml")
 	r := run(t, s)
-	for _, b := range r.Audit.Breaks {
+	for _, b := range r.Audit.Violations {
 		t.Errorf("rule %d, %s: %s", b.Rule, b.RPC, b.Text)
 	}
 	at := float64(s.Troubles[0].At) / 10
@@ -183,7 +183,7 @@
 	}
 	arrivals, quits, n := scenario.NewArrivals(s), map[string]bool{}, 0
 	for _, x := range r.Records {
-		if x.Kind == record.Quit {
+		if x.Kind == record.ClientLeft {
 			mark, _, _ := strings.Cut(x.RPC, "/")
 			quits[mark] = true
 		}
--- a/internal/emulate/front.go
+++ b/internal/emulate/front.go
@@ -65,7 +65,7 @@
 	}
 	f.dispatcher = dispatch.New(f.engine, dispatch.Options{Methods: methods, Customers: w.scenario.Service.CustomerNames(), FunctionSpec: w.scenario.Service.FunctionSpecs(),
 		AnswerMargin: clients.AnswerMargin, Limits: f.settings.LimitSettings()})
-	w.addRecord(record.Record{Kind: record.Restarts, Who: "world", FrontEnd: f.name()})
+	w.addRecord(record.Record{Kind: record.ProcessStarted, Source: "world", FrontEnd: f.name()})
 	life := f.life
 	w.after(w.delay(), func() {
 		if f.life == life && f.alive {
@@ -92,7 +92,7 @@
 // stop ends the front end without notice: the connections of clients and workers are lost.
 func (f *frontEnd) stop() {
 	w := f.w
-	w.addRecord(record.Record{Kind: record.Killed, Who: "world", FrontEnd: f.name()})
+	w.addRecord(record.Record{Kind: record.ProcessEnded, Source: "world", FrontEnd: f.name()})
 	f.alive, f.diedAt = false, w.now
 	f.life++
 	w.events.Stop(&f.timer)
@@ -164,13 +164,13 @@
 		return
 	}
 	f.stalled = true
-	w.addRecord(record.Record{Kind: record.Stopped, Who: "world", FrontEnd: f.name()})
+	w.addRecord(record.Record{Kind: record.ProcessPaused, Source: "world", FrontEnd: f.name()})
 	w.after(span, func() {
 		if f.life != life {
 			return
 		}
 		f.stalled = false
-		w.addRecord(record.Record{Kind: record.Resumed, Who: "world", FrontEnd: f.name()})
+		w.addRecord(record.Record{Kind: record.ProcessResumed, Source: "world", FrontEnd: f.name()})
 		events := f.stalledEvents
 		f.stalledEvents = nil
 		f.runTurn(events...)
@@ -191,7 +191,7 @@
 	for _, name := range names {
 		if m := w.roster[name]; update != router.ListComplete || m.state != router.Removed {
 			entries = append(entries, entry{name, *m})
-			w.addRecord(record.Record{Kind: record.Told, Who: "roster", FrontEnd: f.name(), Worker: name,
+			w.addRecord(record.Record{Kind: record.StateSent, Source: "roster", FrontEnd: f.name(), Worker: name,
 				State: map[router.Readiness]string{router.Removed: "gone", router.Ready: "ready", router.Draining: "draining"}[m.state]})
 		}
 	}
@@ -343,30 +343,30 @@
 func (l *link) Send(id engine.CallOutID, p *engine.RPC, left, _ router.Time) {
 	w, sent, name := l.frontEnd.w, &callOut{}, l.frontEnd.name()
 	l.callOuts[id] = sent
-	j := &standin.Job{Method: p.Method.Name, Function: p.Function, Token: p.Token, Mark: string(p.Payload), Until: w.now + left,
-		Memory: p.Spec.MemoryMB, Lanes: p.Spec.Lanes, Load: p.Spec.LoadTime}
+	j := &standin.Job{Method: p.Method.Name, Function: p.Function, Token: p.Token, Mark: string(p.Payload), Deadline: w.now + left,
+		Memory: p.Spec.MemoryMB, Lanes: p.Spec.Lanes, LoadTime: p.Spec.LoadTime}
 	l.atWorker(func(x *worker) {
 		sent.job = j
-		r := record.Record{Kind: record.Request, Who: x.settings.Name, FrontEnd: name, RPC: j.Mark, Method: j.Method, Function: j.Function,
+		r := record.Record{Kind: record.RequestReceived, Source: x.settings.Name, FrontEnd: name, RPC: j.Mark, Method: j.Method, Function: j.Function,
 			Token: j.Token}
 		for i := range x.settings.Work {
 			if x.settings.Work[i].Method == j.Method {
-				r.Cost = float64(x.settings.Work[i].Mean) / 10
+				r.WorkMS = float64(x.settings.Work[i].Mean) / 10
 			}
 		}
 		w.addRecord(r)
-		j.Done = func(a standin.Answer) {
-			w.addRecord(record.Record{Kind: record.Ended, Who: x.settings.Name, FrontEnd: name, RPC: j.Mark, N: a.Code})
+		j.Done = func(a standin.Response) {
+			w.addRecord(record.Record{Kind: record.RequestEnded, Source: x.settings.Name, FrontEnd: name, RPC: j.Mark, N: a.Code})
 			report := append([]float64(nil), x.model.Report()...)
 			l.atFrontEnd(x, func() {
 				if _, out := l.callOuts[id]; !out {
 					return
 				}
 				delete(l.callOuts, id)
-				l.frontEnd.engine.CallOutEnded(id, l.id, workerlink.OutcomeOf(a.Code), workerlink.ParseWarmth(a.Warmth), a.Crowd, report, []byte(a.Message), nil)
+				l.frontEnd.engine.CallOutEnded(id, l.id, workerlink.OutcomeOf(a.Code), workerlink.ParseWarmth(a.Warmth), a.RPCsAtCopies, report, []byte(a.Message), nil)
 			})
 		}
-		x.model.Request(j)
+		x.model.Submit(j)
 	})
 }
 
@@ -378,14 +378,14 @@
 	}
 	l.atWorker(func(x *worker) {
 		if fl.job != nil {
-			x.model.CallOff(fl.job)
+			x.model.Cancel(fl.job)
 		}
 	})
 }
 
 // CancelLoadOrder implements engine.Link.
 func (l *link) CancelLoadOrder(id engine.OrderID) {
-	l.atWorker(func(x *worker) { x.model.Unhold(orderKey{l, id}) })
+	l.atWorker(func(x *worker) { x.model.CancelLoad(orderKey{l, id}) })
 }
 
 // orderKey identifies a load order at a worker: order IDs are unique within one front end only.
@@ -400,9 +400,9 @@
 	l.orders = append(l.orders, id)
 	l.atWorker(func(x *worker) {
 		if copies > 0 {
-			w.addRecord(record.Record{Kind: record.Hold, Who: x.settings.Name, FrontEnd: name, Function: function, N: copies})
+			w.addRecord(record.Record{Kind: record.LoadOrdered, Source: x.settings.Name, FrontEnd: name, Function: function, N: copies})
 		}
-		x.model.Hold(orderKey{l, id}, function, copies, fn.MemoryMB, fn.Lanes, fn.LoadTime, func(code, loaded int) {
+		x.model.OrderLoad(orderKey{l, id}, function, copies, fn.MemoryMB, fn.Lanes, fn.LoadTime, func(code, loaded int) {
 			l.atFrontEnd(x, func() {
 				l.orders = remove(l.orders, id)
 				l.frontEnd.engine.LoadOrderEnded(id, workerlink.OutcomeOf(code), loaded)
@@ -415,7 +415,7 @@
 func (l *link) Check(id engine.CheckID) {
 	l.checks = append(l.checks, id)
 	l.atWorker(func(x *worker) {
-		if x.model.Hangs() {
+		if x.model.Hanging() {
 			return
 		}
 		report := append([]float64(nil), x.model.Report()...)
--- a/internal/emulate/worker.go
+++ b/internal/emulate/worker.go
@@ -43,7 +43,7 @@
 	if set.Cold {
 		cold, started = float64(set.Rules.Cold)/10, w.now
 	}
-	w.addRecord(record.Record{Kind: record.Began, Who: set.Name, Zone: set.Zone, Cell: set.Cell, Cold: cold, From: set.Rules.ColdFrom,
+	w.addRecord(record.Record{Kind: record.WorkerStarted, Source: set.Name, Zone: set.Zone, Cell: set.Cell, ColdMS: cold, ColdFrom: set.Rules.ColdFrom,
 		Cores: float64(set.Machine.Cores) * set.Machine.Speed})
 	x.scheduleInspection()
 	w.updateRoster(set.Name, func(m *rosterEntry) { m.worker, m.state, m.started = x, router.Ready, started })
@@ -53,9 +53,9 @@
 func (x *worker) scheduleInspection() {
 	x.w.after(min(x.settings.Machine.ReportInterval, inspectionInterval), func() {
 		if x.alive {
-			x.handle(x.model.Look)
+			x.handle(x.model.Housekeep)
 			x.w.inspections++
-			if why := x.model.Overfull(); why != "" && x.w.overLimit == "" {
+			if why := x.model.OverCapacity(); why != "" && x.w.overLimit == "" {
 				x.w.overLimit = x.settings.Name + ": " + why
 			}
 			x.scheduleInspection()
@@ -68,7 +68,7 @@
 	if !x.alive {
 		return
 	}
-	x.model.Begin(x.w.now)
+	x.model.SetTime(x.w.now)
 	event()
 	x.timers.Fire(x.w.now)
 	if due, any := x.timers.NextDue(); any && x.alive {
@@ -119,36 +119,36 @@
 	})
 }
 
-// Claim implements standin.World.
-func (x *worker) Claim(group, token string, window router.Time, done func(first, ok bool)) {
+// ClaimToken implements standin.World.
+func (x *worker) ClaimToken(group, token string, window router.Time, done func(first, ok bool)) {
 	w := x.w
 	if w.store == nil {
 		w.after(0, func() { x.handle(func() { done(true, true) }) })
 		return
 	}
 	w.after(w.delay(), func() {
-		first := w.store.Claim(w.now, group+"\x00"+token, window)
+		first := w.store.ClaimToken(w.now, group+"\x00"+token, window)
 		w.after(w.delay(), func() { x.handle(func() { done(first, true) }) })
 	})
 }
 
-// Worked implements standin.World.
-func (x *worker) Worked(j *standin.Job, span router.Time) {
-	x.w.addRecord(record.Record{Kind: record.Worked, Who: x.settings.Name, RPC: j.Mark, Time: float64(span) / 10})
+// RecordWork implements standin.World.
+func (x *worker) RecordWork(j *standin.Job, span router.Time) {
+	x.w.addRecord(record.Record{Kind: record.WorkDone, Source: x.settings.Name, RPC: j.Mark, DurationMS: float64(span) / 10})
 }
 
-// Effect implements standin.World.
-func (x *worker) Effect(j *standin.Job, dropped bool) {
-	kind := record.Effect
+// RecordEffect implements standin.World.
+func (x *worker) RecordEffect(j *standin.Job, dropped bool) {
+	kind := record.EffectApplied
 	if dropped {
-		kind = record.Dropped
+		kind = record.EffectDropped
 	}
-	x.w.addRecord(record.Record{Kind: kind, Who: x.settings.Name, RPC: j.Mark, Method: j.Method, Function: j.Function, Token: j.Token})
+	x.w.addRecord(record.Record{Kind: kind, Source: x.settings.Name, RPC: j.Mark, Method: j.Method, Function: j.Function, Token: j.Token})
 }
 
-// Fell implements standin.World.
-func (x *worker) Fell(pushed, could float64) {
-	x.w.addRecord(record.Record{Kind: record.Fell, Who: x.settings.Name, Cost: pushed, Time: could})
+// ColdOverload implements standin.World.
+func (x *worker) ColdOverload(pushed, could float64) {
+	x.w.addRecord(record.Record{Kind: record.WorkerOverloaded, Source: x.settings.Name, WorkMS: pushed, DurationMS: could})
 	x.w.after(0, x.stop)
 }
 
--- a/internal/emulate/world.go
+++ b/internal/emulate/world.go
@@ -41,7 +41,7 @@
 	events        eventloop.Timers // of all parts; those due at the same time run in the order in which they were set
 	delayDist     distuv.LogNormal
 	networkRand   *rand.Rand // random numbers of the network
-	store         *standin.Shelf
+	store         *standin.StoreModel
 	fronts        []*frontEnd
 	workers       map[string]*worker
 	byID          map[router.WorkerID]*worker
@@ -115,7 +115,7 @@
 	// a log-normal distribution with the mean of the settings: its median is the mean over e^(sigma^2/2)
 	w.delayDist = distuv.LogNormal{Mu: math.Log(float64(n.DelayUs)) - n.Spread*n.Spread/2, Sigma: n.Spread, Src: randSource{w.networkRand}}
 	if s.Fleet.Store != nil {
-		w.store = standin.NewShelf(s.Fleet.Store, &w.events)
+		w.store = standin.NewStoreModel(s.Fleet.Store, &w.events)
 	}
 	for _, set := range s.Workers() {
 		w.startWorker(set)
@@ -190,7 +190,7 @@
 
 // addRecord adds a record with the current virtual time; time 0 of the virtual clock stands for 1970.
 func (w *world) addRecord(r record.Record) {
-	r.T = int64(w.now) * int64(eventloop.Unit)
+	r.UnixNS = int64(w.now) * int64(eventloop.Unit)
 	w.records = append(w.records, r)
 }
 
@@ -236,11 +236,11 @@
 // whether a load is under way, and the RPCs that run on the worker. It returns false if the worker is down or hangs.
 func (w *world) oracleView(id router.WorkerID, fn router.FunctionID) (free int, loading bool, jobs int, ok bool) {
 	x := w.byID[id]
-	if x == nil || !x.alive || x.model.Hangs() {
+	if x == nil || !x.alive || x.model.Hanging() {
 		return 0, false, 0, false
 	}
-	free, loading = x.model.Stands(func(name string) bool { return nameid.Function(name) == fn })
-	return free, loading, x.model.Jobs(), true
+	free, loading = x.model.FreeLanes(func(name string) bool { return nameid.Function(name) == fn })
+	return free, loading, x.model.JobCount(), true
 }
 
 // elapsed returns the time since the load began.
--- a/internal/scenariosearch/hunt.go
+++ b/internal/scenariosearch/hunt.go
@@ -102,7 +102,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Candidate{Scenario: s, RouterShare: m.GainShare(), OracleShare: o.GainShare(), Breaks: len(m.Audit.Breaks)}, nil
+	return &Candidate{Scenario: s, RouterShare: m.GainShare(), OracleShare: o.GainShare(), Breaks: len(m.Audit.Violations)}, nil
 }
 
 // randomScenario varies base: another fleet, another load, and one to four troubles.
