--- a/cmd/mallowlanding/emulate.go
+++ b/cmd/mallowlanding/emulate.go
@@ -40,7 +40,7 @@
 	result.Print(e.stdout, s)
 	fmt.Fprintf(e.stdout, "in virtual time: %d moments with events in %.1f s\n", result.Events, result.Took.Seconds())
 	if len(result.Audit.Breaks) > 0 {
-		return rehearse.ErrBroken
+		return rehearse.ErrRuleBroken
 	}
 	return nil
 }
@@ -138,7 +138,7 @@
 	if c.Share < 0 {
 		return rehearse.Load(e.ctx, s, c.Scenario, sockets, max(c.Processes, 1), e.stdout)
 	}
-	book, err := rehearse.Part(e.ctx, s, sockets, c.Share, c.Of)
+	book, err := rehearse.LoadShare(e.ctx, s, sockets, c.Share, c.Of)
 	if err != nil {
 		return usageError{err}
 	}
--- a/internal/rehearse/config.go
+++ b/internal/rehearse/config.go
@@ -16,140 +16,142 @@
 	"mallowlanding/internal/settings"
 )
 
-// configs is what became of the configurations that a day submitted.
-type configs struct {
-	mu        sync.Mutex
-	bad       map[uint64]bool // by version
-	submitted int
-	failed    int // the service could not be reached, or said that it may have taken it
+// configResults counts the configurations that a scenario submits, and what becomes of them.
+type configResults struct {
+	mu           sync.Mutex
+	bad          map[uint64]bool // by version: is it invalid on purpose
+	submitted    int
+	notConfirmed int // the service could not be reached, or could not say whether it accepted the submission
 
-	Accepted    int
-	BadAccepted []uint64
-	States      map[string]int
-	Runs        map[string]uint64 // what front ends run at the end
+	accepted   int
+	badInForce []uint64
+	states     map[string]int
+	running    map[string]uint64 // the version that each front end runs at the end
 }
 
-// configure submits a configuration so many times a second, a share of them bad.
-func (m *maker) configure(ctx context.Context, t settings.Trouble, rng *rand.Rand) error {
-	c, err := control.Dial(m.f.controlSockets())
+// submitConfigs submits t.Size configurations per second; the share t.Part of them is invalid.
+func (m *faultInjector) submitConfigs(ctx context.Context, t settings.Trouble, rng *rand.Rand) error {
+	client, err := control.Dial(m.fleet.controlSockets())
 	if err != nil {
 		return err
 	}
-	defer c.Close()
-	ctx, end := context.WithTimeout(ctx, eventloop.ToDuration(t.For))
-	defer end()
-	every := time.Duration(float64(time.Second) / max(t.Size, 0.001))
-	for n := 0; sleep(ctx, every); n++ {
+	defer client.Close()
+	ctx, cancel := context.WithTimeout(ctx, eventloop.ToDuration(t.For))
+	defer cancel()
+	interval := time.Duration(float64(time.Second) / max(t.Size, 0.001))
+	for n := 0; sleep(ctx, interval); n++ {
 		bad := rng.Float64() < t.Part
-		text, err := scenario.Configuration(m.f.s, m.f.dir, n, bad, rng)
+		text, err := scenario.Configuration(m.fleet.scenario, m.fleet.dir, n, bad, rng)
 		if err != nil {
 			return err
 		}
-		m.submit(ctx, c, text, bad) // one after the other: a service that is slow takes fewer
+		m.submit(ctx, client, text, bad) // one after the other, so a slow service receives fewer
 	}
 	return nil
 }
 
-// submit hands one configuration in and notes what became of it.
-func (m *maker) submit(ctx context.Context, c *control.Client, text string, bad bool) {
-	v, err := c.Submit(ctx, &wire.SubmitRequest{Text: text, By: "rehearsal", Unchecked: true})
+// submit submits one configuration and counts the result.
+func (m *faultInjector) submit(ctx context.Context, client *control.Client, text string, bad bool) {
+	version, err := client.Submit(ctx, &wire.SubmitRequest{Text: text, By: "rehearsal", Unchecked: true})
 	m.configs.mu.Lock()
 	defer m.configs.mu.Unlock()
 	if m.configs.submitted++; err != nil {
-		m.configs.failed++
+		m.configs.notConfirmed++
 		return
 	}
 	if m.configs.bad == nil {
 		m.configs.bad = map[uint64]bool{}
 	}
-	m.configs.bad[v] = bad
+	m.configs.bad[version] = bad
 }
 
-// move submits the day's service in another shape.
-func (m *maker) move(ctx context.Context) error {
-	c, err := control.Dial(m.f.controlSockets())
+// submitMove submits a configuration that changes the shape of the scenario's service; see scenario.Move.
+func (m *faultInjector) submitMove(ctx context.Context) error {
+	client, err := control.Dial(m.fleet.controlSockets())
 	if err != nil {
 		return err
 	}
-	defer c.Close()
-	text, err := scenario.Move(m.f.s)
+	defer client.Close()
+	text, err := scenario.Move(m.fleet.scenario)
 	if err != nil {
 		return err
 	}
-	m.submit(ctx, c, text, false)
+	m.submit(ctx, client, text, false)
 	return nil
 }
 
-// killControl kills an instance; it is back after a time.
-func (m *maker) killControl(ctx context.Context, i int, away time.Duration) error {
-	p := m.f.signal(instance(i), syscall.SIGKILL)
+// killControlInstance kills an instance of the control service and restarts it after the downtime.
+func (m *faultInjector) killControlInstance(ctx context.Context, i int, downtime time.Duration) error {
+	p := m.fleet.signalProcess(controlName(i), syscall.SIGKILL)
 	<-p.done
-	sleep(ctx, away)
-	return m.f.startInstance(ctx, i)
+	sleep(ctx, downtime)
+	return m.fleet.startControlInstance(ctx, i)
 }
 
-func (m *maker) silence(ctx context.Context, span time.Duration) error {
-	for i := range m.f.s.Fleet.Control.Instances {
-		m.f.signal(instance(i), syscall.SIGSTOP)
+// pauseControl pauses all instances of the control service for a time.
+func (m *faultInjector) pauseControl(ctx context.Context, span time.Duration) error {
+	for i := range m.fleet.scenario.Fleet.Control.Instances {
+		m.fleet.signalProcess(controlName(i), syscall.SIGSTOP)
 	}
 	sleep(ctx, span)
-	for i := range m.f.s.Fleet.Control.Instances {
-		m.f.signal(instance(i), syscall.SIGCONT)
+	for i := range m.fleet.scenario.Fleet.Control.Instances {
+		m.fleet.signalProcess(controlName(i), syscall.SIGCONT)
 	}
 	return nil
 }
 
-// look reads the end of the day's configurations.
-func (c *configs) look(ctx context.Context, f *fleet) error {
+// collect reads the final states of the configurations from the control service.
+func (c *configResults) collect(ctx context.Context, f *fleet) error {
 	if c.submitted == 0 {
 		return nil
 	}
-	w, err := control.Dial(f.controlSockets())
+	client, err := control.Dial(f.controlSockets())
 	if err != nil {
 		return err
 	}
-	defer w.Close()
-	ctx, end := context.WithTimeout(ctx, 10*time.Second)
-	defer end()
-	_, st, err := w.Leader(ctx)
+	defer client.Close()
+	ctx, cancel := context.WithTimeout(ctx, 10*time.Second)
+	defer cancel()
+	_, status, err := client.Leader(ctx)
 	if err != nil {
 		return err
 	}
-	c.States, c.Runs = map[string]int{}, map[string]uint64{}
-	for _, v := range st.Versions {
-		c.States[v.State]++
+	c.states, c.running = map[string]int{}, map[string]uint64{}
+	for _, v := range status.Versions {
+		c.states[v.State]++
 		if v.State == "accepted" || v.State == "past" {
-			c.Accepted++
+			c.accepted++
 			if c.bad[v.Version] {
-				c.BadAccepted = append(c.BadAccepted, v.Version)
+				c.badInForce = append(c.badInForce, v.Version)
 			}
 		}
 	}
-	for _, f := range st.Followers {
-		c.Runs[f.Name] = f.Version
-		if c.bad[f.Version] {
-			c.BadAccepted = append(c.BadAccepted, f.Version)
+	for _, follower := range status.Followers {
+		c.running[follower.Name] = follower.Version
+		if c.bad[follower.Version] {
+			c.badInForce = append(c.badInForce, follower.Version)
 		}
 	}
 	return nil
 }
 
-func (c *configs) String() string {
+// String returns a line for the printed results; it is empty if nothing was submitted.
+func (c *configResults) String() string {
 	if c.submitted == 0 {
 		return ""
 	}
 	bad := 0
-	for _, is := range c.bad {
-		if is {
+	for _, isBad := range c.bad {
+		if isBad {
 			bad++
 		}
 	}
 	var states []string
 	for _, state := range []string{"accepted", "past", "withdrawn", "superseded", "rolling", "waiting"} {
-		if n := c.States[state]; n > 0 {
+		if n := c.states[state]; n > 0 {
 			states = append(states, fmt.Sprintf("%d %s", n, state))
 		}
 	}
 	return fmt.Sprintf("configurations: %d submitted, %d not known to be taken, %d bad; %s; bad ones in force: %d; front ends run %v\n",
-		c.submitted, c.failed, bad, strings.Join(states, ", "), len(c.BadAccepted), c.Runs)
+		c.submitted, c.notConfirmed, bad, strings.Join(states, ", "), len(c.badInForce), c.running)
 }
--- a/internal/rehearse/fleet.go
+++ b/internal/rehearse/fleet.go
@@ -21,36 +21,37 @@
 	"net"
 )
 
-// process is one process of the fleet. It ends with the rehearsal at the latest.
+// process is one process of the fleet. The kernel kills it if the rehearsal's process dies.
 type process struct {
 	name string
 	cmd  *exec.Cmd
-	done chan struct{} // closed once it has ended
+	done chan struct{} // closed when it has exited
 	err  error
 }
 
-// fleet is all that a rehearsal started.
+// fleet is the processes of a rehearsal, and their files.
 type fleet struct {
-	s    *settings.Scenario
-	exe  string
-	dir  string
-	keep func(record.Record)
+	scenario  *settings.Scenario
+	exe       string
+	dir       string
+	addRecord func(record.Record)
 
-	mu      sync.Mutex
-	procs   map[string]*process // the last one under each name
-	all     []*process
-	workers []*settings.Worker // that run, or will again
-	logs    []string           // record logs of workers and roster
-	next    int                // number of the next replacement
-	others  *Sockets           // of front ends that this did not start; nil: they are its own
+	mu          sync.Mutex
+	latest      map[string]*process // by name; the last one that was started
+	processes   []*process
+	workers     []*settings.Worker // that run, or will be restarted
+	recordFiles []string           // record logs of the workers and the roster
+	nextWorker  int                // number of the next replacement worker
+	external    *Sockets           // sockets of front ends that run already; nil: the fleet starts its own
 }
 
+// path returns the path of a file in the fleet's folder.
 func (f *fleet) path(format string, args ...any) string {
 	return filepath.Join(f.dir, fmt.Sprintf(format, args...))
 }
 
-// start runs a subcommand on a settings file as a process of its own.
-func (f *fleet) start(name, command, file string, args ...string) (*process, error) {
+// startProcess starts a process that runs a subcommand with a settings file.
+func (f *fleet) startProcess(name, command, file string, args ...string) (*process, error) {
 	log, err := os.OpenFile(f.path("%s.log", name), os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return nil, err
@@ -68,24 +69,24 @@
 		close(p.done)
 	}()
 	f.mu.Lock()
-	f.procs[name] = p
-	f.all = append(f.all, p)
+	f.latest[name] = p
+	f.processes = append(f.processes, p)
 	f.mu.Unlock()
 	return p, nil
 }
 
-// awaitSocket waits until somebody serves the socket.
+// awaitSocket waits until a process accepts connections on its socket.
 func awaitSocket(ctx context.Context, path string, p *process) error {
-	until := time.Now().Add(20 * time.Second)
+	deadline := time.Now().Add(20 * time.Second)
 	for {
 		if nc, err := net.Dial("unix", path); err == nil {
 			return nc.Close()
-		} else if time.Now().After(until) {
-			return fmt.Errorf("%s: nobody serves %s: %w", p.name, path, err)
+		} else if time.Now().After(deadline) {
+			return fmt.Errorf("%s does not accept connections on %s: %w", p.name, path, err)
 		}
 		select {
 		case <-p.done:
-			return fmt.Errorf("%s ended before it served: %v", p.name, p.err)
+			return fmt.Errorf("%s exited before it accepted connections: %v", p.name, p.err)
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(5 * time.Millisecond):
@@ -93,20 +94,20 @@
 	}
 }
 
-// run starts the whole fleet: roster and store, workers that run since long ago, front ends.
-func (f *fleet) run(ctx context.Context) error {
-	s := f.s
+// startAll starts the fleet: roster and store, workers that count as warm, the control service, front ends.
+func (f *fleet) startAll(ctx context.Context) error {
+	s := f.scenario
 	roster := &settings.Roster{Socket: f.path("roster.sock"), Lag: s.Fleet.RosterLag, Log: f.path("roster.rec")}
 	if s.Fleet.Store != nil {
 		store := *s.Fleet.Store
 		store.Socket = f.path("store.sock")
 		roster.Store = &store
 	}
-	f.logs = append(f.logs, roster.Log)
+	f.recordFiles = append(f.recordFiles, roster.Log)
 	if err := settings.Write(f.path("roster.xml"), "roster", roster); err != nil {
 		return err
 	}
-	p, err := f.start("roster", "roster", f.path("roster.xml"))
+	p, err := f.startProcess("roster", "roster", f.path("roster.xml"))
 	if err == nil {
 		err = awaitSocket(ctx, roster.Socket, p)
 	}
@@ -120,7 +121,7 @@
 			w.Store = &settings.StoreAt{Socket: roster.Store.Socket}
 		}
 	}
-	f.next = len(f.workers)
+	f.nextWorker = len(f.workers)
 	var group errgroup.Group
 	for _, w := range f.workers {
 		group.Go(func() error { return f.startWorker(ctx, w) })
@@ -132,14 +133,14 @@
 		return err
 	}
 	for i := range s.Fleet.FrontEnds {
-		fe := &settings.FrontEnd{Name: frontEnd(i), Number: i, Of: s.Fleet.FrontEnds, Seed: s.Seed + int64(i),
+		fe := &settings.FrontEnd{Name: frontEndName(i), Number: i, Of: s.Fleet.FrontEnds, Seed: s.Seed + int64(i),
 			Service: s.Service}
-		// what the scenario does not set has the schema's defaults
+		// The text is written by hand, so that what the scenario does not set keeps the schema's defaults.
 		file := f.path("%s.xml", fe.Name)
 		text := fmt.Sprintf(`<front-end name=%q number="%d" of="%d" seed="%d"%s>
   <clients socket=%q open="100000"/>%s
   <roster socket=%q cache=%q/>%s
-`, fe.Name, i, fe.Of, fe.Seed, zoneAttr(s, i), f.socket(i), f.kserve(i), roster.Socket, f.path("%s.list", fe.Name), f.controlAt(fe.Name))
+`, fe.Name, i, fe.Of, fe.Seed, zoneAttribute(s, i), f.jsonRPCSocket(i), f.kserveElement(i), roster.Socket, f.path("%s.list", fe.Name), f.controlElement(fe.Name))
 		service, err := settings.ElementText("service", fe.Service)
 		if err != nil {
 			return err
@@ -152,15 +153,16 @@
 	return group.Wait()
 }
 
-// kserve is the second front's element, where part of the load comes over it: each function is a model.
-func (f *fleet) kserve(i int) string {
+// kserveElement returns the kserve element of a front end's settings, with a model for each function. It is empty if
+// all of the load uses JSON-RPC.
+func (f *fleet) kserveElement(i int) string {
 	models, served := "", map[string]bool{}
-	for _, m := range f.s.Load.Mix {
-		if m.Front == jsonRPC || served[m.Method] {
+	for _, m := range f.scenario.Load.Mix {
+		if m.Front == jsonRPCProtocol || served[m.Method] {
 			continue
 		}
 		served[m.Method] = true
-		for n := range f.s.Load.Functions {
+		for n := range f.scenario.Load.Functions {
 			name := fmt.Sprintf("%s-%d", m.Method, n)
 			models += fmt.Sprintf("    <model name=%[1]q method=%[2]q function=%[1]q/>\n", name, m.Method)
 		}
@@ -171,127 +173,128 @@
 	return fmt.Sprintf("\n  <kserve socket=%q grpc-socket=%q>\n%s  </kserve>", f.httpSocket(i), f.grpcSocket(i), models)
 }
 
-// jsonRPC is the first front's name in a mix.
-const jsonRPC = "json-rpc"
+// jsonRPCProtocol is the name of the JSON-RPC protocol in a mix.
+const jsonRPCProtocol = "json-rpc"
 
 func (f *fleet) grpcSocket(i int) string {
-	if f.others != nil {
-		return f.others.at(f.others.GRPC, i)
+	if f.external != nil {
+		return f.external.socketFor(f.external.GRPC, i)
 	}
-	return f.path("%s.grpc", frontEnd(i))
+	return f.path("%s.grpc", frontEndName(i))
 }
 
-func instance(i int) string { return fmt.Sprintf("control-%d", i) }
+func controlName(i int) string { return fmt.Sprintf("control-%d", i) }
 
-// controlSockets are those of the control service's instances.
+// controlSockets returns the sockets of the control service's instances.
 func (f *fleet) controlSockets() (out []string) {
-	if c := f.s.Fleet.Control; c != nil {
+	if c := f.scenario.Fleet.Control; c != nil {
 		for i := range c.Instances {
-			out = append(out, f.path("%s.sock", instance(i)))
+			out = append(out, f.path("%s.sock", controlName(i)))
 		}
 	}
 	return out
 }
 
-// controlAt is a front end's control element.
-func (f *fleet) controlAt(name string) string {
-	if f.s.Fleet.Control == nil {
+// controlElement returns the control element of a front end's settings; it is empty without a control service.
+func (f *fleet) controlElement(name string) string {
+	if f.scenario.Fleet.Control == nil {
 		return ""
 	}
 	return fmt.Sprintf("\n  <control sockets=%q keep=%q/>", strings.Join(f.controlSockets(), " "), f.path("%s.kept", name))
 }
 
-// startControl runs the control service, where the fleet has one.
+// startControl starts the control service, if the fleet has one.
 func (f *fleet) startControl(ctx context.Context) error {
-	c := f.s.Fleet.Control
+	c := f.scenario.Fleet.Control
 	if c == nil {
 		return nil
 	}
 	var group errgroup.Group
 	for i := range c.Instances {
-		doc := &settings.Control{Name: instance(i), Socket: f.path("%s.sock", instance(i)), Peers: f.path("%s.peer", instance(i)),
-			Dir: f.path("%s.store", instance(i)), Beat: c.Beat, Roll: c.Roll}
+		control := &settings.Control{Name: controlName(i), Socket: f.path("%s.sock", controlName(i)), Peers: f.path("%s.peer", controlName(i)),
+			Dir: f.path("%s.store", controlName(i)), Beat: c.Beat, Roll: c.Roll}
 		for j := range c.Instances {
 			if j != i {
-				doc.Others = append(doc.Others, settings.Instance{Name: instance(j), Socket: f.path("%s.peer", instance(j))})
+				control.Others = append(control.Others, settings.Instance{Name: controlName(j), Socket: f.path("%s.peer", controlName(j))})
 			}
 		}
-		if err := settings.Write(f.path("%s.xml", instance(i)), "control", doc); err != nil {
+		if err := settings.Write(f.path("%s.xml", controlName(i)), "control", control); err != nil {
 			return err
 		}
-		group.Go(func() error { return f.startInstance(ctx, i) })
+		group.Go(func() error { return f.startControlInstance(ctx, i) })
 	}
 	return group.Wait()
 }
 
-func (f *fleet) startInstance(ctx context.Context, i int) error {
-	p, err := f.start(instance(i), "control", f.path("%s.xml", instance(i)))
+func (f *fleet) startControlInstance(ctx context.Context, i int) error {
+	p, err := f.startProcess(controlName(i), "control", f.path("%s.xml", controlName(i)))
 	if err != nil {
 		return err
 	}
-	return awaitSocket(ctx, f.path("%s.sock", instance(i)), p)
+	return awaitSocket(ctx, f.path("%s.sock", controlName(i)), p)
 }
 
 func (f *fleet) httpSocket(i int) string {
-	if f.others != nil {
-		return f.others.at(f.others.HTTP, i)
+	if f.external != nil {
+		return f.external.socketFor(f.external.HTTP, i)
 	}
-	return f.path("%s.http", frontEnd(i))
+	return f.path("%s.http", frontEndName(i))
 }
 
-func zoneAttr(s *settings.Scenario, i int) string {
+// zoneAttribute returns the zone attribute of a front end's settings; it is empty if the scenario has no zones.
+func zoneAttribute(s *settings.Scenario, i int) string {
 	if zone := s.ZoneOf(i); zone != "" {
 		return fmt.Sprintf(" zone=%q", zone)
 	}
 	return ""
 }
 
-func frontEnd(i int) string { return fmt.Sprintf("front-%d", i) }
+func frontEndName(i int) string { return fmt.Sprintf("front-%d", i) }
 
-func (f *fleet) socket(i int) string {
-	if f.others != nil {
-		return f.others.at(f.others.JSONRPC, i)
+func (f *fleet) jsonRPCSocket(i int) string {
+	if f.external != nil {
+		return f.external.socketFor(f.external.JSONRPC, i)
 	}
-	return f.path("%s.sock", frontEnd(i))
+	return f.path("%s.sock", frontEndName(i))
 }
 
 func (f *fleet) startFrontEnd(ctx context.Context, i int) error {
-	name := frontEnd(i)
-	f.keep(record.Record{T: time.Now().UnixNano(), Kind: record.Restarts, Who: "rehearsal", FrontEnd: name})
-	p, err := f.start(name, "serve", f.path("%s.xml", name))
+	name := frontEndName(i)
+	f.addRecord(record.Record{T: time.Now().UnixNano(), Kind: record.Restarts, Who: "rehearsal", FrontEnd: name})
+	p, err := f.startProcess(name, "serve", f.path("%s.xml", name))
 	if err != nil {
 		return err
 	}
-	return awaitSocket(ctx, f.socket(i), p)
+	return awaitSocket(ctx, f.jsonRPCSocket(i), p)
 }
 
-// startWorker writes the worker's settings and runs it.
+// startWorker writes a worker's settings and starts it.
 func (f *fleet) startWorker(ctx context.Context, w *settings.Worker) error {
 	w.Socket, w.Control, w.Log = f.path("%s.sock", w.Name), f.path("%s.control", w.Name), f.path("%s.rec", w.Name)
 	f.mu.Lock()
 	known := false
-	for _, l := range f.logs {
-		known = known || l == w.Log
+	for _, file := range f.recordFiles {
+		known = known || file == w.Log
 	}
 	if !known {
-		f.logs = append(f.logs, w.Log)
+		f.recordFiles = append(f.recordFiles, w.Log)
 	}
 	f.mu.Unlock()
 	file := f.path("%s.xml", w.Name)
 	if err := settings.Write(file, "worker", w); err != nil {
 		return err
 	}
-	p, err := f.start(w.Name, "worker", file, "--drain", eventloop.ToDuration(f.s.Fleet.RosterLag+20000).String())
+	p, err := f.startProcess(w.Name, "worker", file, "--drain", eventloop.ToDuration(f.scenario.Fleet.RosterLag+20000).String())
 	if err != nil {
 		return err
 	}
 	return awaitSocket(ctx, w.Control, p)
 }
 
-// signal sends a signal to the last process under a name, where that still runs.
-func (f *fleet) signal(name string, s syscall.Signal) *process {
+// signalProcess sends a signal to the last process with a name, if it still runs.
+func (f *fleet) signalProcess(name string, s syscall.Signal) *process {
 	f.mu.Lock()
-	p := f.procs[name]
+	p := f.latest[name]
 	f.mu.Unlock()
 	select {
 	case <-p.done:
@@ -301,37 +304,37 @@
 	return p
 }
 
-// command asks a worker's control socket for a fault.
-func (f *fleet) command(ctx context.Context, w *settings.Worker, method string, params string) error {
-	ctx, end := context.WithTimeout(ctx, 2*time.Second)
-	defer end()
-	nc, err := (&net.Dialer{}).DialContext(ctx, "unix", w.Control)
+// sendFault requests a fault at a worker's control socket.
+func (f *fleet) sendFault(ctx context.Context, w *settings.Worker, method string, params string) error {
+	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
+	defer cancel()
+	conn, err := (&net.Dialer{}).DialContext(ctx, "unix", w.Control)
 	if err != nil {
 		return err
 	}
-	c := jsonrpc.NewCaller(nc, 1<<20)
+	client := jsonrpc.NewCaller(conn, 1<<20)
 	done := make(chan struct{})
-	go func() { defer close(done); _ = c.Run(ctx) }()
-	a := c.Call(ctx, method, []byte(params))
-	end()
+	go func() { defer close(done); _ = client.Run(ctx) }()
+	resp := client.Call(ctx, method, []byte(params))
+	cancel()
 	<-done
-	if a.Err != nil {
-		return a.Err
+	if resp.Err != nil {
+		return resp.Err
 	}
-	if a.Code != 0 {
-		return fmt.Errorf("%s: %s", method, a.Message)
+	if resp.Code != 0 {
+		return fmt.Errorf("%s: %s", method, resp.Message)
 	}
 	return nil
 }
 
-// stop ends all that still runs: first the front ends, by SIGTERM, then the rest.
-func (f *fleet) stop(answer time.Duration) {
+// stop ends all processes: the front ends first, by SIGTERM and with a time limit for each, then the rest by SIGKILL.
+func (f *fleet) stop(timeout time.Duration) {
 	f.mu.Lock()
-	all := append([]*process(nil), f.all...)
+	all := append([]*process(nil), f.processes...)
 	f.mu.Unlock()
-	for i := range f.s.Fleet.FrontEnds {
+	for i := range f.scenario.Fleet.FrontEnds {
 		f.mu.Lock()
-		p := f.procs[frontEnd(i)]
+		p := f.latest[frontEndName(i)]
 		f.mu.Unlock()
 		if p == nil {
 			continue
@@ -339,7 +342,7 @@
 		_ = p.cmd.Process.Signal(syscall.SIGTERM)
 		select {
 		case <-p.done:
-		case <-time.After(answer):
+		case <-time.After(timeout):
 		}
 	}
 	for _, p := range all {
@@ -352,15 +355,15 @@
 	}
 }
 
-// records are what workers and roster wrote.
-func (f *fleet) records() ([]record.Record, error) {
+// readRecords returns the records that the workers and the roster wrote.
+func (f *fleet) readRecords() ([]record.Record, error) {
 	var all []record.Record
-	for _, file := range f.logs {
-		rs, err := record.Read(file)
+	for _, file := range f.recordFiles {
+		records, err := record.Read(file)
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, rs...)
+		all = append(all, records...)
 	}
 	return all, nil
 }
--- a/internal/rehearse/load.go
+++ b/internal/rehearse/load.go
@@ -34,158 +34,159 @@
 	"mallowlanding/router"
 )
 
-// callers are the clients of a day: an open loop whose arrivals don't wait for answers.
-type callers struct {
-	s     *settings.Scenario
-	fleet *fleet
-	keep  func(record.Record)
-	start time.Time
+// loadGenerator plays the clients of a scenario, in an open loop: arrivals do not wait for answers.
+type loadGenerator struct {
+	scenario  *settings.Scenario
+	fleet     *fleet
+	addRecord func(record.Record)
+	start     time.Time
 
-	mu      sync.Mutex
-	book    *scenario.Book
-	pools   []*pool
-	dead    []time.Time // since when a front end is known to be dead
-	open    sync.WaitGroup
-	lookups map[string]*settings.Method
-	share   int // of the arrivals: each of-th, from this one on
-	of      int // 0: all
-	grpc    []oip.GRPCInferenceServiceClient
-	dials   []*grpc.ClientConn
+	mu          sync.Mutex
+	book        *scenario.Book
+	pools       []*connPool
+	deadSince   []time.Time // by front end; zero: it runs
+	readers     sync.WaitGroup
+	methods     map[string]*settings.Method
+	shareIndex  int // every shareCount-th arrival is sent, from this number on
+	shareCount  int // 0: all arrivals are sent
+	grpcClients []oip.GRPCInferenceServiceClient
+	grpcConns   []*grpc.ClientConn
 }
 
-// pool is the connections to one front end; each carries many RPCs.
-type pool struct {
-	c     *callers
-	i     int
-	mu    sync.Mutex
-	conns []*jsonrpc.Caller
-	next  int
+// connPool holds the JSON-RPC connections to one front end; each carries many RPCs.
+type connPool struct {
+	generator *loadGenerator
+	frontEnd  int
+	mu        sync.Mutex
+	conns     []*jsonrpc.Caller
+	next      int
 }
 
-func newCallers(s *settings.Scenario, f *fleet, keep func(record.Record)) (*callers, error) {
-	c := &callers{s: s, fleet: f, keep: keep, book: scenario.NewBook(s), lookups: map[string]*settings.Method{},
-		dead: make([]time.Time, s.Fleet.FrontEnds)}
+func newLoadGenerator(s *settings.Scenario, f *fleet, addRecord func(record.Record)) (*loadGenerator, error) {
+	c := &loadGenerator{scenario: s, fleet: f, addRecord: addRecord, book: scenario.NewBook(s), methods: map[string]*settings.Method{},
+		deadSince: make([]time.Time, s.Fleet.FrontEnds)}
 	for i := range s.Service.Methods {
 		m := &s.Service.Methods[i]
-		c.lookups[m.Name] = m
+		c.methods[m.Name] = m
 	}
 	for i := range s.Fleet.FrontEnds {
-		c.pools = append(c.pools, &pool{c: c, i: i, conns: make([]*jsonrpc.Caller, s.Clients.Connections)})
-		cc, err := grpc.NewClient("unix:"+f.grpcSocket(i), grpc.WithTransportCredentials(insecure.NewCredentials()),
-			grpc.WithConnectParams(grpc.ConnectParams{Backoff: redial, MinConnectTimeout: time.Second}))
+		c.pools = append(c.pools, &connPool{generator: c, frontEnd: i, conns: make([]*jsonrpc.Caller, s.Clients.Connections)})
+		conn, err := grpc.NewClient("unix:"+f.grpcSocket(i), grpc.WithTransportCredentials(insecure.NewCredentials()),
+			grpc.WithConnectParams(grpc.ConnectParams{Backoff: redialBackoff, MinConnectTimeout: time.Second}))
 		if err != nil {
 			return nil, err
 		}
-		c.dials = append(c.dials, cc)
-		c.grpc = append(c.grpc, oip.NewGRPCInferenceServiceClient(cc))
+		c.grpcConns = append(c.grpcConns, conn)
+		c.grpcClients = append(c.grpcClients, oip.NewGRPCInferenceServiceClient(conn))
 	}
 	return c, nil
 }
 
-// redial is how soon gRPC clients look for a front end again that was gone.
-var redial = backoff.Config{BaseDelay: 20 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: 300 * time.Millisecond}
+// redialBackoff bounds how soon gRPC clients reconnect to a front end that restarted.
+var redialBackoff = backoff.Config{BaseDelay: 20 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: 300 * time.Millisecond}
 
-// close ends the connections that outlive an RPC.
-func (c *callers) close() {
-	for _, cc := range c.dials {
-		cc.Close()
+// close closes the gRPC connections.
+func (c *loadGenerator) close() {
+	for _, conn := range c.grpcConns {
+		conn.Close()
 	}
 }
 
-// get gives a connection, made anew where it broke.
-func (p *pool) get(ctx context.Context) (*jsonrpc.Caller, error) {
+// get returns the next connection in turn, and replaces it if it is closed.
+func (p *connPool) get(ctx context.Context) (*jsonrpc.Caller, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.next = (p.next + 1) % len(p.conns)
-	if c := p.conns[p.next]; c != nil && !c.Closed() {
-		return c, nil
+	if conn := p.conns[p.next]; conn != nil && !conn.Closed() {
+		return conn, nil
 	}
-	c, err := p.dial(ctx)
+	conn, err := p.dial(ctx)
 	if err == nil {
-		p.conns[p.next] = c
+		p.conns[p.next] = conn
 	}
-	return c, err
+	return conn, err
 }
 
-// dial makes a connection.
-func (p *pool) dial(ctx context.Context) (*jsonrpc.Caller, error) {
-	nc, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "unix", p.c.fleet.socket(p.i))
+// dial opens a connection.
+func (p *connPool) dial(ctx context.Context) (*jsonrpc.Caller, error) {
+	nc, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "unix", p.generator.fleet.jsonRPCSocket(p.frontEnd))
 	if err != nil {
 		return nil, err
 	}
-	c := jsonrpc.NewCaller(nc, 1<<24)
-	c.Streaming = true
-	p.c.open.Add(1)
+	conn := jsonrpc.NewCaller(nc, 1<<24)
+	conn.Streaming = true
+	p.generator.readers.Add(1)
 	go func() {
-		defer p.c.open.Done()
-		_ = c.Run(ctx)
+		defer p.generator.readers.Done()
+		_ = conn.Run(ctx)
 	}()
-	return c, nil
+	return conn, nil
 }
 
-// pick is the plain layer before the front ends.
-func (c *callers) pick(rng *rand.Rand) int {
+// pickFrontEnd chooses a front end at random, as a plain load balancer in front of them would; dead ones are left out
+// after the notice time.
+func (c *loadGenerator) pickFrontEnd(rng *rand.Rand) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return scenario.Front(rng, len(c.dead), func(i int) time.Duration {
-		if c.dead[i].IsZero() {
+	return scenario.Front(rng, len(c.deadSince), func(i int) time.Duration {
+		if c.deadSince[i].IsZero() {
 			return -1
 		}
-		return time.Since(c.dead[i])
-	}, eventloop.ToDuration(c.s.Clients.Notice))
+		return time.Since(c.deadSince[i])
+	}, eventloop.ToDuration(c.scenario.Clients.Notice))
 }
 
-// front notes that a front end died or is back.
-func (c *callers) front(i int, dead bool) {
+// setFrontEndDead notes whether a front end is dead or runs.
+func (c *loadGenerator) setFrontEndDead(i int, dead bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.dead[i] = (time.Time{}); dead {
-		c.dead[i] = time.Now()
+	if c.deadSince[i] = (time.Time{}); dead {
+		c.deadSince[i] = time.Now()
 	}
 }
 
-// run sends the day's load and waits until all is answered or given up.
-func (c *callers) run(ctx context.Context) {
-	arrivals := scenario.NewArrivals(c.s)
+// run sends the scenario's load and waits until every RPC is answered or its client has given up.
+func (c *loadGenerator) run(ctx context.Context) {
+	arrivals := scenario.NewArrivals(c.scenario)
 	c.start = time.Now()
 	var rpcs sync.WaitGroup
 	for ctx.Err() == nil {
-		a, more := arrivals.Next()
+		arrival, more := arrivals.Next()
 		if !more {
 			break
 		}
-		if c.of > 1 && a.N%c.of != c.share { // another process's
+		if c.shareCount > 1 && arrival.N%c.shareCount != c.shareIndex { // sent by another process
 			continue
 		}
-		if wait := time.Until(c.start.Add(a.At)); wait > 0 {
+		if wait := time.Until(c.start.Add(arrival.At)); wait > 0 {
 			time.Sleep(wait)
 		}
 		rpcs.Add(1)
 		go func() {
 			defer rpcs.Done()
-			c.one(ctx, a)
+			c.runClient(ctx, arrival)
 		}()
 	}
 	rpcs.Wait()
 }
 
-// one is one client's RPC with its repeats.
-func (c *callers) one(ctx context.Context, a scenario.Arrival) {
-	m := c.lookups[a.Mix.Method]
-	cl := scenario.NewClient(c.s, m, a)
-	began := c.start.Add(a.At)
-	deadline := began.Add(eventloop.ToDuration(m.Deadline))
+// runClient sends one client's RPC, with its repeats, and counts the result.
+func (c *loadGenerator) runClient(ctx context.Context, arrival scenario.Arrival) {
+	method := c.methods[arrival.Mix.Method]
+	client := scenario.NewClient(c.scenario, method, arrival)
+	began := c.start.Add(arrival.At)
+	deadline := began.Add(eventloop.ToDuration(method.Deadline))
 	outcome := scenario.Lost
 	for try := 0; ctx.Err() == nil; try++ {
-		span, repeat, goes := cl.Try(time.Since(c.start), time.Until(deadline))
-		if !goes {
+		timeout, repeat, ok := client.Try(time.Since(c.start), time.Until(deadline))
+		if !ok {
 			break
 		}
 		var sent bool
-		var comeBack time.Duration
-		outcome, sent, comeBack = c.try(ctx, c.pick(cl.Rand()), fmt.Sprintf("%d/%d", a.N, try), cl, a, span, repeat)
-		wait, again := cl.Again(time.Since(c.start), outcome, sent, comeBack)
-		if !again {
+		var retryAfter time.Duration
+		outcome, sent, retryAfter = c.sendTry(ctx, c.pickFrontEnd(client.Rand()), fmt.Sprintf("%d/%d", arrival.N, try), client, arrival, timeout, repeat)
+		wait, retry := client.Again(time.Since(c.start), outcome, sent, retryAfter)
+		if !retry {
 			break
 		}
 		select {
@@ -193,116 +194,118 @@
 		case <-ctx.Done():
 		}
 	}
-	if outcome == scenario.Quit { // it wants nothing any more
+	if outcome == scenario.Quit { // the client left: not counted
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.book.Count(m, a.At, outcome, time.Since(began))
+	c.book.Count(method, arrival.At, outcome, time.Since(began))
 }
 
-// try sends one RPC and waits for its answer, for its time and some more: late answers are seen, too.
-func (c *callers) try(ctx context.Context, front int, mark string, cl *scenario.Client, a scenario.Arrival, span time.Duration,
-	repeat bool) (outcome string, sent bool, comeBack time.Duration) {
-	m, mix, function, token := cl.Method, a.Mix, a.Function, cl.Token
-	if mix.Front != jsonRPC && !a.Once {
-		keep, ms := c.keeper(front, mark, token, function, m, span)
+// sendTry sends one try of an RPC and waits for its answer until the timeout. Later answers are still recorded.
+func (c *loadGenerator) sendTry(ctx context.Context, fe int, mark string, client *scenario.Client, arrival scenario.Arrival, timeout time.Duration,
+	repeat bool) (outcome string, sent bool, retryAfter time.Duration) {
+	m, mix, function, token := client.Method, arrival.Mix, arrival.Function, client.Token
+	if mix.Front != jsonRPCProtocol && !arrival.Once {
+		addRecord, ms := c.tryRecorder(fe, mark, token, function, m, timeout)
 		if mix.Front == "grpc" {
-			return c.tryGRPC(ctx, front, mark, token, function, mix, m, ms, keep)
+			return c.sendGRPC(ctx, fe, mark, token, function, mix, m, ms, addRecord)
 		}
-		return c.tryHTTP(ctx, front, mark, token, function, mix, m, ms, keep)
+		return c.sendHTTP(ctx, fe, mark, token, function, mix, m, ms, addRecord)
 	}
-	patience, closes, impatient := cl.Impatient()
+	leaveAfter, closes, impatient := client.Impatient()
 	var conn *jsonrpc.Caller
 	var err error
-	if impatient { // it has a connection of its own, and may close that
-		conn, err = c.pools[front].dial(ctx)
+	if impatient { // it uses a connection of its own, which it may close
+		conn, err = c.pools[fe].dial(ctx)
 	} else {
-		conn, err = c.pools[front].get(ctx)
+		conn, err = c.pools[fe].get(ctx)
 	}
 	if err != nil {
 		return "lost", false, 0
 	}
-	b := jsonrpc.AppendString([]byte(`{"function":`), function)
+	params := jsonrpc.AppendString([]byte(`{"function":`), function)
 	if mix.Customer != "" {
-		b = jsonrpc.AppendString(append(b, `,"customer":`...), mix.Customer)
+		params = jsonrpc.AppendString(append(params, `,"customer":`...), mix.Customer)
 	}
 	if m.Effect == router.Tokened {
-		b = jsonrpc.AppendString(append(b, `,"token":`...), token)
+		params = jsonrpc.AppendString(append(params, `,"token":`...), token)
 	}
 	if repeat {
-		b = append(b, `,"repeat":true`...)
+		params = append(params, `,"repeat":true`...)
 	}
-	keep, ms := c.keeper(front, mark, token, function, m, span)
-	b = strconv.AppendFloat(append(b, `,"time_ms":`...), ms, 'f', 1, 64)
-	b = append(jsonrpc.AppendString(append(b, `,"payload":{"mark":`...), mark), "}}"...)
-	keep(record.Sent, "")
-	got := make(chan jsonrpc.Response, 1)
+	addRecord, ms := c.tryRecorder(fe, mark, token, function, m, timeout)
+	params = strconv.AppendFloat(append(params, `,"time_ms":`...), ms, 'f', 1, 64)
+	params = append(jsonrpc.AppendString(append(params, `,"payload":{"mark":`...), mark), "}}"...)
+	addRecord(record.Sent, "")
+	first := make(chan jsonrpc.Response, 1)
 	var answers atomic.Int32
-	var left atomic.Bool
-	conn.CallAsync(m.Name, b, func(a jsonrpc.Response) {
-		// noted here, by the reader: also when nobody waits any more, and answers beyond the first
-		switch answered := answers.Add(1) > 1; {
-		case a.Err == nil:
-			keep(record.Answer, outcomeOf(a.Code))
-		case !answered && !left.Load():
-			keep(record.Lost, "")
+	var clientLeft atomic.Bool
+	conn.CallAsync(m.Name, params, func(resp jsonrpc.Response) {
+		// The connection's reader records each answer, also one that comes late or is not the first.
+		switch repeated := answers.Add(1) > 1; {
+		case resp.Err == nil:
+			addRecord(record.Answer, outcomeOf(resp.Code))
+		case !repeated && !clientLeft.Load():
+			addRecord(record.Lost, "")
 		}
 		select {
-		case got <- a:
+		case first <- resp:
 		default:
 		}
 	})
-	gone := make(<-chan time.Time)
+	leave := make(<-chan time.Time)
 	if impatient {
 		defer conn.Close()
-		gone = time.After(patience)
+		leave = time.After(leaveAfter)
 	}
 	select {
-	case <-gone:
-		left.Store(true)
+	case <-leave:
+		clientLeft.Store(true)
 		if closes {
-			keep(record.Quit, "")
+			addRecord(record.Quit, "")
 			return "quit", true, 0
 		}
 		conn.Notify("rpc.cancel", []byte(`{"id":1}`))
-		keep(record.Quit, "")
-		select { // its one answer is still owed
-		case <-got:
-		case <-time.After(span):
+		addRecord(record.Quit, "")
+		select { // a cancelled RPC must still be answered
+		case <-first:
+		case <-time.After(timeout):
 		}
 		return "quit", true, 0
-	case a := <-got:
-		if a.Err != nil {
+	case resp := <-first:
+		if resp.Err != nil {
 			return "lost", true, 0
 		}
-		if comeBackMs, is := jsonrpc.ParseNumber(jsontext.Value(jsonrpc.Member(a.Data, "come_back_ms"))); is {
-			comeBack = time.Duration(comeBackMs * float64(time.Millisecond))
+		if retryAfterMs, ok := jsonrpc.ParseNumber(jsontext.Value(jsonrpc.Member(resp.Data, "come_back_ms"))); ok {
+			retryAfter = time.Duration(retryAfterMs * float64(time.Millisecond))
 		}
-		return outcomeOf(a.Code), true, comeBack
-	case <-time.After(span):
+		return outcomeOf(resp.Code), true, retryAfter
+	case <-time.After(timeout):
 		return "lost", true, 0
 	case <-ctx.Done():
 		return "quit", true, 0
 	}
 }
 
-// keeper keeps records of one try; ms is how long its client waits, as it is told.
-func (c *callers) keeper(front int, mark, token, function string, m *settings.Method, span time.Duration) (
-	keep func(kind, outcome string), ms float64) {
-	ms = math.Floor(float64(span)/1e5) / 10
+// tryRecorder returns a function that records the events of one try, and the timeout in ms that the request states.
+func (c *loadGenerator) tryRecorder(fe int, mark, token, function string, m *settings.Method, timeout time.Duration) (
+	addRecord func(kind, outcome string), ms float64) {
+	ms = math.Floor(float64(timeout)/1e5) / 10
 	return func(kind, outcome string) {
-		c.keep(record.Record{T: time.Now().UnixNano(), Who: "client", FrontEnd: frontEnd(front), RPC: mark, Method: m.Name,
+		c.addRecord(record.Record{T: time.Now().UnixNano(), Who: "client", FrontEnd: frontEndName(fe), RPC: mark, Method: m.Name,
 			Function: function, Token: token, Time: ms, Kind: kind, Outcome: outcome})
 	}, ms
 }
 
-// slack is how long a client looks for an answer once its time is up: late ones are seen, too.
-func (c *callers) slack() time.Duration { return eventloop.ToDuration(c.s.Slack) + time.Second }
+// slack is how long a client waits beyond its timeout, so that late answers are recorded, too.
+func (c *loadGenerator) slack() time.Duration {
+	return eventloop.ToDuration(c.scenario.Slack) + time.Second
+}
 
-// tryGRPC is try over the second front's gRPC; a connection carries many RPCs.
-func (c *callers) tryGRPC(ctx context.Context, front int, mark, token, function string, mix settings.Mix,
-	m *settings.Method, ms float64, keep func(kind, outcome string)) (outcome string, sent bool, comeBack time.Duration) {
+// sendGRPC is sendTry over KServe's gRPC; one connection carries many RPCs.
+func (c *loadGenerator) sendGRPC(ctx context.Context, fe int, mark, token, function string, mix settings.Mix,
+	m *settings.Method, ms float64, addRecord func(kind, outcome string)) (outcome string, sent bool, retryAfter time.Duration) {
 	headers := []string{"inference-timeout-ms", strconv.FormatFloat(ms, 'f', 1, 64)}
 	if m.Effect == router.Tokened {
 		headers = append(headers, "idempotency-key", token)
@@ -310,11 +313,11 @@
 	if mix.Customer != "" {
 		headers = append(headers, "inference-customer", mix.Customer)
 	}
-	ctx, end := context.WithTimeout(metadata.AppendToOutgoingContext(ctx, headers...),
+	ctx, cancel := context.WithTimeout(metadata.AppendToOutgoingContext(ctx, headers...),
 		time.Duration(ms*float64(time.Millisecond))+c.slack())
-	defer end()
-	keep(record.Sent, "")
-	_, err := c.grpc[front].ModelInfer(ctx, &oip.ModelInferRequest{ModelName: function,
+	defer cancel()
+	addRecord(record.Sent, "")
+	_, err := c.grpcClients[fe].ModelInfer(ctx, &oip.ModelInferRequest{ModelName: function,
 		Parameters: map[string]*oip.InferParameter{"mark": {ParameterChoice: &oip.InferParameter_StringParam{StringParam: mark}}},
 		Inputs: []*oip.ModelInferRequest_InferInputTensor{{Name: "x", Datatype: "INT32", Shape: []int64{1},
 			Contents: &oip.InferTensorContents{IntContents: []int32{1}}}}})
@@ -322,9 +325,9 @@
 	case codes.OK:
 		outcome = "ok"
 	case codes.Unavailable:
-		for _, d := range st.Details() { // without it, nobody answered
-			if info, is := d.(*errdetails.RetryInfo); is {
-				outcome, comeBack = "denied", info.RetryDelay.AsDuration()
+		for _, d := range st.Details() { // without RetryInfo, the status is not an answer of the front end
+			if info, ok := d.(*errdetails.RetryInfo); ok {
+				outcome, retryAfter = "denied", info.RetryDelay.AsDuration()
 			}
 		}
 	case codes.Unknown:
@@ -333,43 +336,44 @@
 		outcome = "error " + st.Code().String()
 	}
 	if outcome == "" {
-		keep(record.Lost, "")
+		addRecord(record.Lost, "")
 		return "lost", true, 0
 	}
-	keep(record.Answer, outcome)
-	return outcome, true, comeBack
+	addRecord(record.Answer, outcome)
+	return outcome, true, retryAfter
 }
 
-// tryHTTP is try over the second front's HTTP.
-func (c *callers) tryHTTP(ctx context.Context, front int, mark, token, function string, mix settings.Mix,
-	m *settings.Method, ms float64, keep func(kind, outcome string)) (outcome string, sent bool, comeBack time.Duration) {
+// sendHTTP is sendTry over KServe's HTTP.
+func (c *loadGenerator) sendHTTP(ctx context.Context, fe int, mark, token, function string, mix settings.Mix,
+	m *settings.Method, ms float64, addRecord func(kind, outcome string)) (outcome string, sent bool, retryAfter time.Duration) {
 	body := fmt.Sprintf(`{"parameters":{"mark":%q},"inputs":[{"name":"x","datatype":"INT32","shape":[1],"data":[1]}]}`, mark)
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://front/v2/models/"+function+"/infer", strings.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://front/v2/models/"+function+"/infer", strings.NewReader(body))
 	if err != nil {
 		return "lost", false, 0
 	}
-	r.Header.Set("Inference-Timeout-Ms", strconv.FormatFloat(ms, 'f', 1, 64))
+	req.Header.Set("Inference-Timeout-Ms", strconv.FormatFloat(ms, 'f', 1, 64))
 	if m.Effect == router.Tokened {
-		r.Header.Set("Idempotency-Key", token)
+		req.Header.Set("Idempotency-Key", token)
 	}
 	if mix.Customer != "" {
-		r.Header.Set("Inference-Customer", mix.Customer)
+		req.Header.Set("Inference-Customer", mix.Customer)
 	}
-	// a connection of its own: a pooled one that the front end closes would be tried again by the library
-	nc, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "unix", c.fleet.httpSocket(front))
+	// The request has a connection of its own: net/http would send it again if the front end closed a pooled
+	// connection.
+	conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "unix", c.fleet.httpSocket(fe))
 	if err != nil {
 		return "lost", false, 0
 	}
-	defer nc.Close()
-	_ = nc.SetDeadline(time.Now().Add(time.Duration(ms*float64(time.Millisecond)) + c.slack()))
-	keep(record.Sent, "")
-	r.Close = true
-	if err = r.Write(nc); err == nil {
-		var answer *http.Response
-		if answer, err = http.ReadResponse(bufio.NewReader(nc), r); err == nil {
-			_, err = io.Copy(io.Discard, answer.Body)
-			answer.Body.Close()
-			switch answer.StatusCode {
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(time.Duration(ms*float64(time.Millisecond)) + c.slack()))
+	addRecord(record.Sent, "")
+	req.Close = true
+	if err = req.Write(conn); err == nil {
+		var resp *http.Response
+		if resp, err = http.ReadResponse(bufio.NewReader(conn), req); err == nil {
+			_, err = io.Copy(io.Discard, resp.Body)
+			resp.Body.Close()
+			switch resp.StatusCode {
 			case http.StatusOK:
 				outcome = "ok"
 			case http.StatusServiceUnavailable:
@@ -377,18 +381,19 @@
 			case http.StatusInternalServerError:
 				outcome = "aborted"
 			default:
-				outcome = "error " + answer.Status
+				outcome = "error " + resp.Status
 			}
 		}
 	}
 	if err != nil {
-		keep(record.Lost, "")
+		addRecord(record.Lost, "")
 		return "lost", true, 0
 	}
-	keep(record.Answer, outcome)
+	addRecord(record.Answer, outcome)
 	return outcome, true, 0
 }
 
+// outcomeOf returns the outcome that a JSON-RPC error code stands for; 0 is a result.
 func outcomeOf(code int) string {
 	switch code {
 	case 0:
--- a/internal/rehearse/rehearse.go
+++ b/internal/rehearse/rehearse.go
@@ -1,6 +1,6 @@
-// Package rehearse plays a scripted day: a fleet of processes of their own on one machine, clients that ask in an
-// open loop, troubles at their times. It then checks the five rules from what passed over the sockets and from the
-// workers' log of effects, and prints what became of the RPCs.
+// Package rehearse plays a scenario with real processes on one machine: it starts a fleet, sends the load of the
+// clients in an open loop, and injects the scheduled troubles. Then it checks the five rules, from the records of the
+// clients, the workers and the roster, and prints the results of the RPCs.
 package rehearse
 
 import (
@@ -19,11 +19,11 @@
 	"mallowlanding/internal/settings"
 )
 
-// ErrBroken: a rule broke.
-var ErrBroken = errors.New("a rule broke")
+// ErrRuleBroken reports that one of the five rules was broken, or that an invalid configuration was accepted or run.
+var ErrRuleBroken = errors.New("a rule was broken")
 
-// Run plays a scenario with the program's own executable and prints its table. Keep names a folder in which all that
-// the processes left stays; an empty name: it goes. A broken rule is ErrBroken.
+// Run plays a scenario with processes of this program and prints the results. The folder keep holds the files of the
+// processes; if keep is empty, they go to a temporary folder, which is removed. A broken rule gives ErrRuleBroken.
 func Run(ctx context.Context, s *settings.Scenario, keep string, out io.Writer, log zerolog.Logger) error {
 	exe, err := os.Executable()
 	if err != nil {
@@ -35,17 +35,17 @@
 	}
 	o.Print(out, s)
 	if len(o.Audit.Breaks) > 0 || o.Broken {
-		return ErrBroken
+		return ErrRuleBroken
 	}
 	return nil
 }
 
-// Play runs a scenario's processes as exe and audits what they left.
+// Play plays a scenario with processes of the program exe and audits their records.
 func Play(ctx context.Context, s *settings.Scenario, exe, keep string, log zerolog.Logger) (*scenario.Outcome, error) {
 	dir := keep
 	var err error
 	if dir == "" {
-		if dir, err = os.MkdirTemp("", "mallow"); err != nil { // short: socket paths are bounded
+		if dir, err = os.MkdirTemp("", "mallow"); err != nil { // short: the length of socket paths is limited
 			return nil, err
 		}
 		defer os.RemoveAll(dir)
@@ -53,13 +53,13 @@
 		return nil, err
 	}
 	var mu sync.Mutex
-	var seen []record.Record
-	keepRecord := func(r record.Record) {
+	var clientRecords []record.Record
+	addRecord := func(r record.Record) {
 		mu.Lock()
-		seen = append(seen, r)
+		clientRecords = append(clientRecords, r)
 		mu.Unlock()
 	}
-	f := &fleet{s: s, exe: exe, dir: dir, keep: keepRecord, procs: map[string]*process{}}
+	f := &fleet{scenario: s, exe: exe, dir: dir, addRecord: addRecord, latest: map[string]*process{}}
 	longest := time.Duration(0)
 	for _, m := range s.Service.Methods {
 		longest = max(longest, eventloop.ToDuration(m.Deadline))
@@ -70,57 +70,57 @@
 			f.stop(0)
 		}
 	}()
-	if err := f.run(ctx); err != nil {
+	if err := f.startAll(ctx); err != nil {
 		return nil, err
 	}
-	// the list comes to the front ends with the roster's lag
+	// The front ends receive the worker list with the roster's lag.
 	if !sleep(ctx, eventloop.ToDuration(s.Fleet.RosterLag)+500*time.Millisecond) {
 		return nil, ctx.Err()
 	}
 	log.Info().Str("scenario", s.Name).Int("front_ends", s.Fleet.FrontEnds).Int("workers", len(f.workers)).
-		Msg("the day begins")
-	c, err := newCallers(s, f, keepRecord)
+		Msg("the scenario starts")
+	generator, err := newLoadGenerator(s, f, addRecord)
 	if err != nil {
 		return nil, err
 	}
-	defer c.close()
-	today, end := context.WithCancel(ctx)
-	defer end()
-	m := &maker{f: f, callers: c, log: log}
-	troubles := make(chan struct{})
+	defer generator.close()
+	dayCtx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	injector := &faultInjector{fleet: f, generator: generator, log: log}
+	troublesDone := make(chan struct{})
 	begin := time.Now()
-	go func() { defer close(troubles); m.run(today, begin) }()
-	c.run(today)
-	<-troubles
-	// what was sent last is answered before its time is up, or a rule breaks
+	go func() { defer close(troublesDone); injector.run(dayCtx, begin) }()
+	generator.run(dayCtx)
+	<-troublesDone
+	// The last RPCs must be answered by their deadline, or a rule is broken.
 	sleep(ctx, longest+eventloop.ToDuration(s.Slack))
-	if err := m.configs.look(ctx, f); err != nil {
-		log.Warn().Err(err).Msg("the control service does not tell how the day's configurations ended")
+	if err := injector.configs.collect(ctx, f); err != nil {
+		log.Warn().Err(err).Msg("could not read the final states of the configurations from the control service")
 	}
 	f.stop(longest + time.Second)
 	stopped = true
-	end()
-	c.open.Wait()
-	theirs, err := f.records()
+	cancel()
+	generator.readers.Wait()
+	fleetRecords, err := f.readRecords()
 	if err != nil {
 		return nil, err
 	}
 	mu.Lock()
 	defer mu.Unlock()
 	if keep != "" {
-		l, err := record.Open(f.path("callers.rec"))
+		recordLog, err := record.Open(f.path("callers.rec"))
 		if err != nil {
 			return nil, err
 		}
-		defer l.Close()
-		for _, r := range seen {
-			if err := l.Add(r); err != nil {
+		defer recordLog.Close()
+		for _, r := range clientRecords {
+			if err := recordLog.Add(r); err != nil {
 				return nil, err
 			}
 		}
 	}
-	all := append(seen, theirs...)
-	o := scenario.Judge(s, all, c.book, m.configs.String())
-	o.Broken = len(m.configs.BadAccepted) > 0
-	return o, ctx.Err()
+	all := append(clientRecords, fleetRecords...)
+	outcome := scenario.Judge(s, all, generator.book, injector.configs.String())
+	outcome.Broken = len(injector.configs.badInForce) > 0
+	return outcome, ctx.Err()
 }
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -20,13 +20,13 @@
 	"mallowlanding/router"
 )
 
-// The test's executable is the program too: TestMain runs what a rehearsal starts. The environment names the rule
-// that a front end breaks on purpose.
-const wrongEnv = "MALLOWLANDING_TEST_BREAKS_RULE"
+// The test binary also serves as the program that a rehearsal starts; see TestMain. The environment variable names the
+// rule that a front end breaks on purpose.
+const brokenRuleEnv = "MALLOWLANDING_TEST_BREAKS_RULE"
 
 func TestMain(m *testing.M) {
 	if len(os.Args) > 4 && os.Args[1] == "--log-form" {
-		if err := program(os.Args[3], os.Args[4]); err != nil {
+		if err := runProgram(os.Args[3], os.Args[4]); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -35,7 +35,8 @@
 	os.Exit(m.Run())
 }
 
-func program(command, file string) error {
+// runProgram runs the subcommand that a rehearsal starts.
+func runProgram(command, file string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer stop()
 	log := zerolog.New(os.Stderr)
@@ -57,24 +58,24 @@
 	if err != nil {
 		return err
 	}
-	return gateway.ServeWithHooks(ctx, f, log, nil, wrong(os.Getenv(wrongEnv)))
+	return gateway.ServeWithHooks(ctx, f, log, nil, ruleBreakingHooks(os.Getenv(brokenRuleEnv)))
 }
 
-// wrong is the outgoing side of a front end that breaks one rule.
-func wrong(rule string) gateway.OutputHooks {
-	w := &wrongSide{rule: rule, links: map[string]engine.Link{}}
+// ruleBreakingHooks returns output hooks that make a front end break one rule.
+func ruleBreakingHooks(rule string) gateway.OutputHooks {
+	breaker := &ruleBreaker{rule: rule, links: map[string]engine.Link{}}
 	switch rule {
 	case "1 twice":
-		return gateway.OutputHooks{Answer: w.twice}
+		return gateway.OutputHooks{Answer: breaker.duplicateAnswer}
 	case "1":
-		return gateway.OutputHooks{Client: func(c engine.Client) engine.Client { return &wrongClient{Client: c, w: w} }}
+		return gateway.OutputHooks{Client: func(c engine.Client) engine.Client { return &ruleBreakingClient{Client: c, breaker: breaker} }}
 	case "2", "3", "4", "5":
-		return gateway.OutputHooks{Link: w.link}
+		return gateway.OutputHooks{Link: breaker.wrapLink}
 	}
 	return gateway.OutputHooks{}
 }
 
-type wrongSide struct {
+type ruleBreaker struct {
 	rule        string
 	mu          sync.Mutex
 	links       map[string]engine.Link
@@ -82,68 +83,69 @@
 	answers     int
 }
 
-func (w *wrongSide) link(name string, l engine.Link) engine.Link {
-	w.links[name], w.last = l, name
-	if w.first == "" {
-		w.first = name
+func (b *ruleBreaker) wrapLink(name string, l engine.Link) engine.Link {
+	b.links[name], b.last = l, name
+	if b.first == "" {
+		b.first = name
 	}
-	return &wrongLink{Link: l, w: w}
+	return &ruleBreakingLink{Link: l, breaker: b}
 }
 
-type wrongClient struct {
+type ruleBreakingClient struct {
 	engine.Client
-	w *wrongSide
+	breaker *ruleBreaker
 }
 
-// OK answers, or never does.
-func (c *wrongClient) OK(result, blob []byte) {
-	if c.w.answers++; c.w.answers%20 != 0 {
+// OK drops every 20th answer.
+func (c *ruleBreakingClient) OK(result, blob []byte) {
+	if c.breaker.answers++; c.breaker.answers%20 != 0 {
 		c.Client.OK(result, blob)
 	}
 }
 
-// twice has some answers leave twice.
-func (w *wrongSide) twice(value []byte) []byte {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.answers++; w.answers%20 == 0 {
+// duplicateAnswer sends every 20th answer twice.
+func (b *ruleBreaker) duplicateAnswer(value []byte) []byte {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.answers++; b.answers%20 == 0 {
 		return append(append(value, '\n'), value...)
 	}
 	return value
 }
 
-type wrongLink struct {
+type ruleBreakingLink struct {
 	engine.Link
-	w *wrongSide
+	breaker *ruleBreaker
 }
 
-func (l *wrongLink) Send(id engine.CallOutID, p *engine.RPC, left, by router.Time) {
-	w := l.w
-	switch w.rule {
-	case "2": // side-effecting RPCs go to two workers
-		if l.Link.Send(id, p, left, by); p.Method.Effect == router.SideEffecting {
-			for _, other := range w.links {
+func (l *ruleBreakingLink) Send(id engine.CallOutID, rpc *engine.RPC, left, by router.Time) {
+	b := l.breaker
+	switch b.rule {
+	case "2": // sends side-effecting RPCs to two workers
+		if l.Link.Send(id, rpc, left, by); rpc.Method.Effect == router.SideEffecting {
+			for _, other := range b.links {
 				if other != l.Link {
-					other.Send(id, p, left, by)
+					other.Send(id, rpc, left, by)
 					return
 				}
 			}
 		}
-	case "3": // all goes to the worker known first, drained or not
-		w.links[w.first].Send(id, p, left, by)
-	case "4": // the worker that came last is pushed, cold or not
-		l.Link.Send(id, p, left, by)
+	case "3": // sends everything to the worker that was known first, even if it drains
+		b.links[b.first].Send(id, rpc, left, by)
+	case "4": // overloads the worker that was added last, even if it is cold
+		l.Link.Send(id, rpc, left, by)
 		for range 10 {
-			w.links[w.last].Send(id, p, left, by)
+			b.links[b.last].Send(id, rpc, left, by)
 		}
-	case "5": // each RPC orders a load
-		l.Link.OrderLoad(engine.OrderID(1<<40|uint64(id)), p.Function, p.Spec, 1, by)
-		l.Link.Send(id, p, left, by)
+	case "5": // orders a load for each RPC
+		l.Link.OrderLoad(engine.OrderID(1<<40|uint64(id)), rpc.Function, rpc.Spec, 1, by)
+		l.Link.Send(id, rpc, left, by)
 	}
 }
 
-// Each front end that breaks a rule is caught, by the rule it breaks, with who and when; one that breaks none is not.
-func TestAuditorCatches(t *testing.T) {
+// TestAuditorFindsBrokenRules checks that the auditor reports each front end that breaks a rule, with the number of the
+// rule, the RPC and the time, and does not report a front end that breaks none.
+func TestAuditorFindsBrokenRules(t *testing.T) {
 	exe, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
@@ -163,12 +165,12 @@
 			}
 			defer os.RemoveAll(dir)
 			wrapper := filepath.Join(dir, "program")
-			script := fmt.Sprintf("#!/bin/sh\n%s='%s' exec '%s' \"$@\"\n", wrongEnv, c.name, exe)
+			script := fmt.Sprintf("#!/bin/sh\n%s='%s' exec '%s' \"$@\"\n", brokenRuleEnv, c.name, exe)
 			if err := os.WriteFile(wrapper, []byte(script), 0o700); err != nil {
 				t.Fatal(err)
 			}
-			// All are written before one starts processes: a child that is being made has the file open for writing, and nothing
-			// can run a file that is.
+			// All scripts are written before any process starts: a process that is forked while a script is open for
+			// writing inherits the open file, and the script cannot be executed as long as it has it.
 			t.Parallel()
 			begin := time.Now()
 			o, err := Play(context.Background(), s, wrapper, filepath.Join(dir, "d"), zerolog.Nop())
@@ -176,22 +178,22 @@
 				t.Fatal(err)
 			}
 			if c.rule == 0 && (o.Audit.RPCs < 100 || o.Audit.CallOuts < 100 || o.Audit.Effects < 100) {
-				t.Errorf("the auditor saw too little: %+v", o.Audit)
+				t.Errorf("the auditor saw too few RPCs, call-outs or effects: %+v", o.Audit)
 			}
 			caught := 0
-			for _, b := range o.Audit.Breaks {
-				if c.rule == 0 || b.RPC == "" || b.T < begin.UnixNano() || b.T > time.Now().UnixNano() {
-					t.Errorf("%+v", b)
+			for _, violation := range o.Audit.Breaks {
+				if c.rule == 0 || violation.RPC == "" || violation.T < begin.UnixNano() || violation.T > time.Now().UnixNano() {
+					t.Errorf("unexpected or incomplete violation: %+v", violation)
 				}
-				if b.Rule == c.rule {
+				if violation.Rule == c.rule {
 					caught++
 				}
 			}
 			if c.rule > 0 && caught == 0 {
-				t.Errorf("not caught: %+v", o.Audit)
+				t.Errorf("broken rule not reported: %+v", o.Audit)
 			}
 			if c.rule == 0 && o.Kept() < 0.5 {
-				t.Errorf("gain kept is %.2f", o.Kept())
+				t.Errorf("gain kept is %.2f, want at least 0.5", o.Kept())
 			}
 		})
 	}
--- a/internal/rehearse/tool.go
+++ b/internal/rehearse/tool.go
@@ -23,10 +23,12 @@
 	"mallowlanding/internal/settings"
 )
 
-// Sockets are front ends' that run already: one of each list for each, an empty list where that protocol is not asked.
+// Sockets are the sockets of front ends that run already. Each list has one socket for each front end, or none if the
+// protocol is not used.
 type Sockets struct{ JSONRPC, HTTP, GRPC []string }
 
-func (s *Sockets) at(list []string, i int) string {
+// socketFor returns the socket of a front end in one of the lists, or nothing if the list is empty.
+func (s *Sockets) socketFor(list []string, i int) string {
 	if len(list) == 0 {
 		return ""
 	}
@@ -36,30 +38,31 @@
 // Len is the number of front ends.
 func (s *Sockets) Len() int { return max(len(s.JSONRPC), len(s.HTTP), len(s.GRPC)) }
 
-// Part sends a share of a scenario's load, each of-th arrival from the share-th on, and gives the tallies. Latencies count
-// from when an RPC was due: a front end that stalls does not hide what waited for it.
-func Part(ctx context.Context, s *settings.Scenario, at Sockets, share, of int) (*scenario.Book, error) {
+// LoadShare sends one share of a scenario's load, every count-th arrival from number index on, and returns the counts
+// and latencies. A latency is counted from the time at which its RPC was due, so that it includes the wait for a
+// stalled front end.
+func LoadShare(ctx context.Context, s *settings.Scenario, sockets Sockets, index, count int) (*scenario.Book, error) {
 	for _, m := range s.Load.Mix {
-		if list := map[string][]string{jsonRPC: at.JSONRPC, "http": at.HTTP, "grpc": at.GRPC}[m.Front]; len(list) == 0 {
-			return nil, m.Errorf("mix of method %q over %s: no socket is named for that", m.Method, m.Front)
+		if list := map[string][]string{jsonRPCProtocol: sockets.JSONRPC, "http": sockets.HTTP, "grpc": sockets.GRPC}[m.Front]; len(list) == 0 {
+			return nil, m.Errorf("mix of method %q over %s: no sockets given for this protocol", m.Method, m.Front)
 		}
 	}
-	one := *s
-	one.Fleet.FrontEnds = at.Len()
-	c, err := newCallers(&one, &fleet{s: &one, others: &at}, func(record.Record) {})
+	scn := *s
+	scn.Fleet.FrontEnds = sockets.Len()
+	generator, err := newLoadGenerator(&scn, &fleet{scenario: &scn, external: &sockets}, func(record.Record) {})
 	if err != nil {
 		return nil, err
 	}
-	defer c.close()
-	c.share, c.of = share, of
-	ctx, end := context.WithCancel(ctx)
-	defer func() { end(); c.open.Wait() }()
-	c.run(ctx)
-	return c.book, nil
+	defer generator.close()
+	generator.shareIndex, generator.shareCount = index, count
+	ctx, cancel := context.WithCancel(ctx)
+	defer func() { cancel(); generator.readers.Wait() }()
+	generator.run(ctx)
+	return generator.book, nil
 }
 
-// Load sends a scenario's load from so many processes of this program and prints one table of all.
-func Load(ctx context.Context, s *settings.Scenario, file string, at Sockets, processes int, out io.Writer) error {
+// Load sends a scenario's load from several processes of this program and prints one table of the results.
+func Load(ctx context.Context, s *settings.Scenario, file string, sockets Sockets, processes int, out io.Writer) error {
 	exe, err := os.Executable()
 	if err != nil {
 		return err
@@ -75,32 +78,32 @@
 	for i := range processes {
 		group.Go(func() error {
 			cmd := exec.CommandContext(ctx, exe, "--log-level", "error", "load", file, "--share", strconv.Itoa(i), "--of", strconv.Itoa(processes))
-			for _, f := range []struct {
+			for _, flag := range []struct {
 				name string
 				list []string
-			}{{"--json-rpc", at.JSONRPC}, {"--http", at.HTTP}, {"--grpc", at.GRPC}} {
-				if len(f.list) > 0 {
-					cmd.Args = append(cmd.Args, f.name, strings.Join(f.list, ","))
+			}{{"--json-rpc", sockets.JSONRPC}, {"--http", sockets.HTTP}, {"--grpc", sockets.GRPC}} {
+				if len(flag.list) > 0 {
+					cmd.Args = append(cmd.Args, flag.name, strings.Join(flag.list, ","))
 				}
 			}
 			cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-			var told, wrong bytes.Buffer
-			cmd.Stdout, cmd.Stderr = &told, &wrong
+			var stdout, stderr bytes.Buffer
+			cmd.Stdout, cmd.Stderr = &stdout, &stderr
 			if err := cmd.Run(); err != nil {
-				return fmt.Errorf("process %d: %w: %s", i, err, wrong.String())
+				return fmt.Errorf("process %d: %w: %s", i, err, stderr.String())
 			}
-			var part scenario.Book
-			if err := json.Unmarshal(told.Bytes(), &part); err != nil {
+			var partial scenario.Book
+			if err := json.Unmarshal(stdout.Bytes(), &partial); err != nil {
 				return fmt.Errorf("process %d: %w", i, err)
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			return book.Merge(&part)
+			return book.Merge(&partial)
 		})
 	}
 	if err := group.Wait(); err != nil {
 		return errors.Join(err, ctx.Err())
 	}
-	book.Print(out, fmt.Sprintf("%s: load of %d processes on %d front ends, %.1f s", s.Name, processes, at.Len(), time.Since(begin).Seconds()))
+	book.Print(out, fmt.Sprintf("%s: load of %d processes on %d front ends, %.1f s", s.Name, processes, sockets.Len(), time.Since(begin).Seconds()))
 	return nil
 }
--- a/internal/rehearse/trouble.go
+++ b/internal/rehearse/trouble.go
@@ -16,18 +16,18 @@
 	"mallowlanding/internal/settings"
 )
 
-// maker makes the day's troubles happen.
-type maker struct {
-	f       *fleet
-	callers *callers
-	log     zerolog.Logger
-	wg      sync.WaitGroup
-	configs configs
+// faultInjector plays the troubles, the scheduled faults, of a scenario.
+type faultInjector struct {
+	fleet     *fleet
+	generator *loadGenerator
+	log       zerolog.Logger
+	wg        sync.WaitGroup
+	configs   configResults
 }
 
-// run plays all troubles at their times and returns once they are over.
-func (m *maker) run(ctx context.Context, start time.Time) {
-	for n, t := range m.f.s.Troubles {
+// run starts each trouble at its time and returns when all have ended.
+func (m *faultInjector) run(ctx context.Context, start time.Time) {
+	for n, t := range m.fleet.scenario.Troubles {
 		m.wg.Add(1)
 		go func() {
 			defer m.wg.Done()
@@ -35,15 +35,16 @@
 				return
 			}
 			m.log.Info().Str("kind", t.Kind).Float64("part", t.Part).Float64("size", t.Size).
-				Dur("for", eventloop.ToDuration(t.For)).Msg("trouble")
-			if err := m.make(ctx, t, rand.New(rand.NewSource(m.f.s.Seed+int64(n)))); err != nil && ctx.Err() == nil {
-				m.log.Error().Err(err).Str("kind", t.Kind).Msg("trouble could not be made")
+				Dur("for", eventloop.ToDuration(t.For)).Msg("trouble starts")
+			if err := m.inject(ctx, t, rand.New(rand.NewSource(m.fleet.scenario.Seed+int64(n)))); err != nil && ctx.Err() == nil {
+				m.log.Error().Err(err).Str("kind", t.Kind).Msg("could not inject the trouble")
 			}
 		}()
 	}
 	m.wg.Wait()
 }
 
+// sleep reports false if the context ended before the time had passed.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -53,88 +54,89 @@
 	}
 }
 
-// part draws a share of the workers that are part of the fleet now, one at the least.
-func (m *maker) part(share float64, rng *rand.Rand) []*settings.Worker {
-	m.f.mu.Lock()
-	defer m.f.mu.Unlock()
-	n := max(1, int(math.Round(share*float64(len(m.f.workers)))))
+// pickWorkers draws a share of the fleet's present workers, at least one.
+func (m *faultInjector) pickWorkers(share float64, rng *rand.Rand) []*settings.Worker {
+	m.fleet.mu.Lock()
+	defer m.fleet.mu.Unlock()
+	n := max(1, int(math.Round(share*float64(len(m.fleet.workers)))))
 	var out []*settings.Worker
-	for _, i := range rng.Perm(len(m.f.workers))[:min(n, len(m.f.workers))] {
-		out = append(out, m.f.workers[i])
+	for _, i := range rng.Perm(len(m.fleet.workers))[:min(n, len(m.fleet.workers))] {
+		out = append(out, m.fleet.workers[i])
 	}
 	return out
 }
 
-func (m *maker) make(ctx context.Context, t settings.Trouble, rng *rand.Rand) error {
+// inject plays one trouble and returns when it has ended, or when the workers play it on by themselves.
+func (m *faultInjector) inject(ctx context.Context, t settings.Trouble, rng *rand.Rand) error {
 	span := eventloop.ToDuration(t.For)
-	params := fmt.Sprintf(`{"for_ms":%g,"size":%g,"seed":%d}`, float64(t.For)/10, t.Size, m.f.s.Seed)
-	each := func(ws []*settings.Worker, fault, params string) error {
-		for _, w := range ws {
-			if err := m.f.command(ctx, w, fault, params); err != nil {
+	params := fmt.Sprintf(`{"for_ms":%g,"size":%g,"seed":%d}`, float64(t.For)/10, t.Size, m.fleet.scenario.Seed)
+	sendToEach := func(workers []*settings.Worker, fault, params string) error {
+		for _, w := range workers {
+			if err := m.fleet.sendFault(ctx, w, fault, params); err != nil {
 				return fmt.Errorf("%s: %w", w.Name, err)
 			}
 		}
 		return nil
 	}
 	switch t.Kind {
-	case "burst", "scan": // the callers make these
+	case "burst", "scan": // part of the load that clients send
 		return nil
 	case "hang":
-		return each(m.part(t.Part, rng), "fault.hang", params)
+		return sendToEach(m.pickWorkers(t.Part, rng), "fault.hang", params)
 	case "slow":
-		return each(m.part(t.Part, rng), "fault.slow", params)
+		return sendToEach(m.pickWorkers(t.Part, rng), "fault.slow", params)
 	case "fast-errors":
-		return each(m.part(t.Part, rng), "fault.errors", params)
+		return sendToEach(m.pickWorkers(t.Part, rng), "fault.errors", params)
 	case "load-fails":
-		return each(m.part(t.Part, rng), "fault.load_fails", params)
+		return sendToEach(m.pickWorkers(t.Part, rng), "fault.load_fails", params)
 	case "report-late":
-		return each(m.part(1, rng), "fault.reports_late", params)
+		return sendToEach(m.pickWorkers(1, rng), "fault.reports_late", params)
 	case "flush":
-		return each(m.part(1, rng), "fault.release", params)
+		return sendToEach(m.pickWorkers(1, rng), "fault.release", params)
 	case "half-frame":
-		return each(m.part(t.Part, rng), "fault.half_frame", params)
+		return sendToEach(m.pickWorkers(t.Part, rng), "fault.half_frame", params)
 	case "close":
-		return each(m.part(t.Part, rng), "fault.close", params)
+		return sendToEach(m.pickWorkers(t.Part, rng), "fault.close", params)
 	case "crash":
-		return m.crash(ctx, m.part(t.Part, rng), span)
+		return m.crashWorkers(ctx, m.pickWorkers(t.Part, rng), span)
 	case "ageing":
-		ws := m.part(t.Part, rng)
+		workers := m.pickWorkers(t.Part, rng)
 		for _, factor := range []float64{1 + t.Size/3, 1 + 2*t.Size/3, 1 + t.Size} {
 			p := fmt.Sprintf(`{"for_ms":%g,"size":%g}`, float64(t.For)/10, factor)
-			if err := each(ws, "fault.slow", p); err != nil {
+			if err := sendToEach(workers, "fault.slow", p); err != nil {
 				return err
 			}
 			if !sleep(ctx, span/3) {
 				return nil
 			}
 		}
-		return m.crash(ctx, ws, time.Second)
+		return m.crashWorkers(ctx, workers, time.Second)
 	case "zone-loss":
-		var ws []*settings.Worker
-		for _, w := range m.part(1, rng) {
+		var workers []*settings.Worker
+		for _, w := range m.pickWorkers(1, rng) {
 			if w.Zone == t.Zone {
-				ws = append(ws, w)
+				workers = append(workers, w)
 			}
 		}
 		var wg sync.WaitGroup
 		if t.Size > 0.5 {
-			for i := range m.f.s.Fleet.FrontEnds {
-				if m.f.s.ZoneOf(i) == t.Zone {
+			for i := range m.fleet.scenario.Fleet.FrontEnds {
+				if m.fleet.scenario.ZoneOf(i) == t.Zone {
 					wg.Add(1)
-					go func() { defer wg.Done(); _ = m.killFront(ctx, i, span) }()
+					go func() { defer wg.Done(); _ = m.killFrontEnd(ctx, i, span) }()
 				}
 			}
 		}
-		err := m.crash(ctx, ws, span)
+		err := m.crashWorkers(ctx, workers, span)
 		wg.Wait()
 		return err
 	case "deploy":
-		ws := m.part(t.Part, rng)
-		batch := max(1, int(math.Round(t.Size*float64(len(ws)))))
-		batches := (len(ws) + batch - 1) / batch
-		for i := 0; i < len(ws); i += batch {
-			for _, w := range ws[i:min(i+batch, len(ws))] {
-				if err := m.replace(ctx, w, 0); err != nil {
+		workers := m.pickWorkers(t.Part, rng)
+		batch := max(1, int(math.Round(t.Size*float64(len(workers)))))
+		batches := (len(workers) + batch - 1) / batch
+		for i := 0; i < len(workers); i += batch {
+			for _, w := range workers[i:min(i+batch, len(workers))] {
+				if err := m.replaceWorker(ctx, w, 0); err != nil {
 					return err
 				}
 			}
@@ -144,103 +146,104 @@
 		}
 		return nil
 	case "preempt":
-		for _, w := range m.part(t.Part, rng) {
-			if err := m.replace(ctx, w, span); err != nil {
+		for _, w := range m.pickWorkers(t.Part, rng) {
+			if err := m.replaceWorker(ctx, w, span); err != nil {
 				return err
 			}
 		}
 		return nil
 	case "config", "config-flood":
-		return m.configure(ctx, t, rng)
+		return m.submitConfigs(ctx, t, rng)
 	case "config-move":
-		return m.move(ctx)
+		return m.submitMove(ctx)
 	case "control-kill":
-		return m.killControl(ctx, rng.Intn(m.f.s.Fleet.Control.Instances), span)
-	case "control-silence": // all stand still, as behind a cut
-		return m.silence(ctx, span)
+		return m.killControlInstance(ctx, rng.Intn(m.fleet.scenario.Fleet.Control.Instances), span)
+	case "control-silence": // pausing all instances looks like a network cut
+		return m.pauseControl(ctx, span)
 	case "front-end-kill":
-		return m.killFront(ctx, rng.Intn(m.f.s.Fleet.FrontEnds), span)
+		return m.killFrontEnd(ctx, rng.Intn(m.fleet.scenario.Fleet.FrontEnds), span)
 	case "front-end-roll":
-		for i := range m.f.s.Fleet.FrontEnds {
-			m.callers.front(i, true)
-			p := m.f.signal(frontEnd(i), syscall.SIGTERM)
+		for i := range m.fleet.scenario.Fleet.FrontEnds {
+			m.generator.setFrontEndDead(i, true)
+			p := m.fleet.signalProcess(frontEndName(i), syscall.SIGTERM)
 			select {
 			case <-p.done:
 			case <-ctx.Done():
 				return nil
 			}
-			if err := m.f.startFrontEnd(ctx, i); err != nil {
+			if err := m.fleet.startFrontEnd(ctx, i); err != nil {
 				return err
 			}
-			m.callers.front(i, false)
-			if !sleep(ctx, span/time.Duration(m.f.s.Fleet.FrontEnds)) {
+			m.generator.setFrontEndDead(i, false)
+			if !sleep(ctx, span/time.Duration(m.fleet.scenario.Fleet.FrontEnds)) {
 				return nil
 			}
 		}
 		return nil
 	case "front-end-stall":
-		name := frontEnd(rng.Intn(m.f.s.Fleet.FrontEnds))
-		m.note(record.Stopped, name)
-		m.f.signal(name, syscall.SIGSTOP)
+		name := frontEndName(rng.Intn(m.fleet.scenario.Fleet.FrontEnds))
+		m.addEvent(record.Stopped, name)
+		m.fleet.signalProcess(name, syscall.SIGSTOP)
 		sleep(ctx, span)
-		m.f.signal(name, syscall.SIGCONT)
-		m.note(record.Resumed, name)
+		m.fleet.signalProcess(name, syscall.SIGCONT)
+		m.addEvent(record.Resumed, name)
 		return nil
 	}
-	return fmt.Errorf("trouble %q: sockets of one machine can't show it: emulate it", t.Kind)
+	return fmt.Errorf("trouble %q cannot be produced with processes on one machine: use the emulator", t.Kind)
 }
 
-func (m *maker) note(kind, frontEnd string) {
-	m.f.keep(record.Record{T: time.Now().UnixNano(), Kind: kind, Who: "rehearsal", FrontEnd: frontEnd})
+// addEvent records what happens to a front end.
+func (m *faultInjector) addEvent(kind, frontEnd string) {
+	m.fleet.addRecord(record.Record{T: time.Now().UnixNano(), Kind: kind, Who: "rehearsal", FrontEnd: frontEnd})
 }
 
-// crash kills workers; they come back cold after a time, under their names.
-func (m *maker) crash(ctx context.Context, ws []*settings.Worker, away time.Duration) error {
-	for _, w := range ws {
-		m.f.signal(w.Name, syscall.SIGKILL)
+// crashWorkers kills workers and restarts them cold, with the same names, after the downtime.
+func (m *faultInjector) crashWorkers(ctx context.Context, workers []*settings.Worker, downtime time.Duration) error {
+	for _, w := range workers {
+		m.fleet.signalProcess(w.Name, syscall.SIGKILL)
 	}
-	if !sleep(ctx, away) {
+	if !sleep(ctx, downtime) {
 		return nil
 	}
-	for _, w := range ws {
+	for _, w := range workers {
 		w.Cold = true
-		if err := m.f.startWorker(ctx, w); err != nil {
+		if err := m.fleet.startWorker(ctx, w); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// replace drains a worker and has another come in its place, cold, after a time.
-func (m *maker) replace(ctx context.Context, w *settings.Worker, away time.Duration) error {
-	m.f.signal(w.Name, syscall.SIGTERM)
+// replaceWorker drains a worker and starts a new one, which is cold, in its place after the downtime.
+func (m *faultInjector) replaceWorker(ctx context.Context, w *settings.Worker, downtime time.Duration) error {
+	m.fleet.signalProcess(w.Name, syscall.SIGTERM)
 	next := *w
 	next.Cold = true
-	m.f.mu.Lock()
-	next.Name = fmt.Sprintf("worker-%d", m.f.next)
-	m.f.next++
-	for i := range m.f.workers {
-		if m.f.workers[i] == w {
-			m.f.workers[i] = &next
+	m.fleet.mu.Lock()
+	next.Name = fmt.Sprintf("worker-%d", m.fleet.nextWorker)
+	m.fleet.nextWorker++
+	for i := range m.fleet.workers {
+		if m.fleet.workers[i] == w {
+			m.fleet.workers[i] = &next
 		}
 	}
-	m.f.mu.Unlock()
-	if !sleep(ctx, away) {
+	m.fleet.mu.Unlock()
+	if !sleep(ctx, downtime) {
 		return nil
 	}
-	return m.f.startWorker(ctx, &next)
+	return m.fleet.startWorker(ctx, &next)
 }
 
-// killFront kills a front end; it is back after a time.
-func (m *maker) killFront(ctx context.Context, i int, away time.Duration) error {
-	m.note(record.Killed, frontEnd(i))
-	m.callers.front(i, true)
-	p := m.f.signal(frontEnd(i), syscall.SIGKILL)
+// killFrontEnd kills a front end and restarts it after the downtime.
+func (m *faultInjector) killFrontEnd(ctx context.Context, i int, downtime time.Duration) error {
+	m.addEvent(record.Killed, frontEndName(i))
+	m.generator.setFrontEndDead(i, true)
+	p := m.fleet.signalProcess(frontEndName(i), syscall.SIGKILL)
 	<-p.done
-	sleep(ctx, away)
-	if err := m.f.startFrontEnd(ctx, i); err != nil {
+	sleep(ctx, downtime)
+	if err := m.fleet.startFrontEnd(ctx, i); err != nil {
 		return err
 	}
-	m.callers.front(i, false)
+	m.generator.setFrontEndDead(i, false)
 	return nil
 }
