--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,5 +1,5 @@
-// Package demo runs a small service in one process, to try: a roster, a store, workers and one front end, each on
-// its socket, with settings that can be read and changed beside them.
+// Package demo runs a small service in one process, to try out: a roster, a store, workers and one front end, each on
+// its own socket. Their settings files lie in the same folder as the sockets and may be edited.
 package demo
 
 import (
@@ -19,11 +19,11 @@
 	"mallowlanding/router"
 )
 
-// Workers is how many the demo has.
-const Workers = 4
+// WorkerCount is the number of workers of the demo.
+const WorkerCount = 4
 
-// service is what the demo's documents share; what it leaves out has the schema's defaults.
-const service = `
+// serviceElement is the service in the front end's settings. What it leaves out has the schema's defaults.
+const serviceElement = `
   <service>
     <method name="query" effect="idempotent" gain="1" soft-deadline-ms="1000" deadline-ms="3000" load-ms="300"/>
     <method name="book" effect="tokened" group="all" window-ms="3000" gain="2" soft-deadline-ms="800" deadline-ms="3000" load-ms="300"/>
@@ -32,8 +32,9 @@
   </service>
 `
 
-func documents(dir string) map[string]string {
-	docs := map[string]string{
+// settingsFiles returns the default settings files by name, with sockets in dir.
+func settingsFiles(dir string) map[string]string {
+	files := map[string]string{
 		"roster.xml": fmt.Sprintf(`<roster socket="%[1]s/roster.sock" lag-ms="200">
   <store socket="%[1]s/store.sock" mean-ms="20"/>
 </roster>
@@ -41,10 +42,10 @@
 		"front-0.xml": fmt.Sprintf(`<front-end name="front-0">
   <clients socket="%[1]s/front-0.sock"/>
   <roster socket="%[1]s/roster.sock" cache="%[1]s/front-0.list"/>%[2]s</front-end>
-`, dir, service),
+`, dir, serviceElement),
 	}
-	for i := range Workers {
-		docs[fmt.Sprintf("worker-%d.xml", i)] = fmt.Sprintf(`<worker name="worker-%[2]d" socket="%[1]s/worker-%[2]d.sock"
+	for i := range WorkerCount {
+		files[fmt.Sprintf("worker-%d.xml", i)] = fmt.Sprintf(`<worker name="worker-%[2]d" socket="%[1]s/worker-%[2]d.sock"
     control="%[1]s/worker-%[2]d.control" kind="std" cold="no" log="%[1]s/worker-%[2]d.log">
   <machine cores="2" memory-mb="4096"/>
   <work method="query" mean-ms="5"/>
@@ -55,17 +56,17 @@
 </worker>
 `, dir, i)
 	}
-	return docs
+	return files
 }
 
-// Run writes the settings into dir where they are missing, runs the service until the context ends, and prints one
-// line, "ready" and the client socket's path, once RPCs are taken.
+// Run writes those settings files that dir does not have yet and runs the service until the context ends. When the
+// front end accepts RPCs, it prints one line: "ready" and the path of the client socket.
 func Run(ctx context.Context, dir string, out io.Writer, log zerolog.Logger) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return err
 	}
 	dir = filepath.Clean(dir)
-	for name, text := range documents(dir) {
+	for name, text := range settingsFiles(dir) {
 		file := filepath.Join(dir, name)
 		if _, err := os.Stat(file); err == nil {
 			continue
@@ -74,21 +75,21 @@
 			return err
 		}
 	}
-	rs, err := settings.ReadRoster(filepath.Join(dir, "roster.xml"))
+	roster, err := settings.ReadRoster(filepath.Join(dir, "roster.xml"))
 	if err != nil {
 		return err
 	}
-	fs, err := settings.ReadFrontEnd(filepath.Join(dir, "front-0.xml"))
+	frontEnd, err := settings.ReadFrontEnd(filepath.Join(dir, "front-0.xml"))
 	if err != nil {
 		return err
 	}
-	// the front end leaves first: what it holds is still answered
-	rest, endRest := context.WithCancel(context.Background())
-	defer endRest()
-	var others, front errgroup.Group
-	part := func(run func(ready func()) error) error {
+	// The stand-ins outlive the front end, so that it can still answer its open RPCs.
+	standInCtx, stopStandIns := context.WithCancel(context.Background())
+	defer stopStandIns()
+	var standIns, frontEnds errgroup.Group
+	startStandIn := func(run func(ready func()) error) error {
 		ready, failed := make(chan struct{}), make(chan error, 1)
-		others.Go(func() error {
+		standIns.Go(func() error {
 			err := run(func() { close(ready) })
 			failed <- err
 			return err
@@ -100,27 +101,27 @@
 			return err
 		}
 	}
-	err = part(func(ready func()) error { return standin.Roster(rest, rs, log, ready) })
-	for i := 0; err == nil && i < Workers; i++ {
-		var ws *settings.Worker
-		if ws, err = settings.ReadWorker(filepath.Join(dir, fmt.Sprintf("worker-%d.xml", i))); err == nil {
-			err = part(func(ready func()) error { return standin.Worker(rest, ws, 0, log, ready) })
+	err = startStandIn(func(ready func()) error { return standin.Roster(standInCtx, roster, log, ready) })
+	for i := 0; err == nil && i < WorkerCount; i++ {
+		var worker *settings.Worker
+		if worker, err = settings.ReadWorker(filepath.Join(dir, fmt.Sprintf("worker-%d.xml", i))); err == nil {
+			err = startStandIn(func(ready func()) error { return standin.Worker(standInCtx, worker, 0, log, ready) })
 		}
 	}
 	if err == nil {
-		// the list comes with the roster's lag
-		wait := time.Duration(rs.Lag+router.Time(1000)) * 100 * time.Microsecond
+		// The roster reports the workers after its lag.
+		wait := time.Duration(roster.Lag+router.Time(1000)) * 100 * time.Microsecond
 		select {
 		case <-time.After(wait):
 		case <-ctx.Done():
 		}
-		front.Go(func() error {
-			return gateway.Serve(ctx, fs, log, func() { fmt.Fprintln(out, "ready", fs.Clients.Socket) })
+		frontEnds.Go(func() error {
+			return gateway.Serve(ctx, frontEnd, log, func() { fmt.Fprintln(out, "ready", frontEnd.Clients.Socket) })
 		})
-		err = front.Wait()
+		err = frontEnds.Wait()
 	}
-	endRest()
-	if err2 := others.Wait(); err == nil {
+	stopStandIns()
+	if err2 := standIns.Wait(); err == nil {
 		err = err2
 	}
 	return err
