--- a/deploy/sites/draw/main.go
+++ b/deploy/sites/draw/main.go
@@ -1,5 +1,6 @@
-// Command draw writes a deployment drawn over all that the operators' protocol allows, in the form that the bench
-// reads, so that the program is played on settings it was not tuned on. The same seed gives the same file.
+// Command draw writes a random site, which is a deployment within the limits of the operators' protocol, in the format
+// of the test bench. The program is tested on such sites because it was not tuned on them. The same seed gives the same
+// file.
 //
 // usage: go run ./deploy/sites/draw SEED > deploy/sites/drawn-SEED.toml
 package main
@@ -20,7 +21,7 @@
 	}
 	seed, err := strconv.ParseUint(os.Args[1], 10, 64)
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "draw: the seed is no whole number: %v\n", err)
+		fmt.Fprintf(os.Stderr, "draw: the seed is not an unsigned 64-bit integer: %v\n", err)
 		os.Exit(2)
 	}
 	if err := Write(os.Stdout, Draw(seed)); err != nil {
@@ -29,16 +30,16 @@
 	}
 }
 
-// Write writes a site as the bench reads it.
-func Write(to io.Writer, site Site) error {
-	encoder := toml.NewEncoder(to)
+// Write writes a site in the format of the test bench.
+func Write(w io.Writer, site Site) error {
+	encoder := toml.NewEncoder(w)
 	encoder.SetArraysMultiline(false)
 	return encoder.Encode(site)
 }
 
-// Read reads a site strictly: a name that is not known is an error with its place.
-func Read(from io.Reader) (site Site, err error) {
-	decoder := toml.NewDecoder(from)
+// Read reads a site strictly: an unknown key is an error, which gives its position.
+func Read(r io.Reader) (site Site, err error) {
+	decoder := toml.NewDecoder(r)
 	decoder.DisallowUnknownFields()
 	err = decoder.Decode(&site)
 	return site, err
--- a/deploy/sites/draw/site.go
+++ b/deploy/sites/draw/site.go
@@ -1,9 +1,9 @@
 package main
 
-// Range is a lower and an upper bound; the bench draws a day's figure between them.
+// Range is a lower and an upper bound; the test bench draws the value for a simulated day between them.
 type Range [2]float64
 
-// Site is a deployment in the form that the bench reads. Times carry their unit in the name.
+// Site is a deployment in the format of the test bench. Fields with times have the unit in their names.
 type Site struct {
 	Name      string    `toml:"name"`
 	Family    string    `toml:"family"`
@@ -26,7 +26,7 @@
 	Troubles  []Trouble `toml:"trouble"`
 }
 
-// Day is the form of one day.
+// Day is the length and the size of a simulated day.
 type Day struct {
 	LengthS       Range `toml:"length_s"`
 	TickMS        int   `toml:"tick_ms"`
@@ -36,7 +36,7 @@
 	StartSpreadMS Range `toml:"start_spread_ms"`
 }
 
-// Scale is how many machines the simulated days have.
+// Scale is the number of workers (servers) and front ends (balancers) of the simulated days.
 type Scale struct {
 	Servers       [2]int `toml:"servers"`
 	Balancers     [2]int `toml:"balancers"`
@@ -46,7 +46,7 @@
 	TwinBalancers int    `toml:"twin_balancers"`
 }
 
-// Load is the traffic, as shares of what the workers can do.
+// Load is the traffic, as shares of the workers' capacity.
 type Load struct {
 	Quiet           Range    `toml:"quiet"`
 	Trouble         Range    `toml:"trouble"`
@@ -62,7 +62,7 @@
 	QuotaOfCapacity *Range   `toml:"quota_of_capacity,omitempty"`
 }
 
-// Net is the network between zones.
+// Net is the network within and between zones.
 type Net struct {
 	Zones      []string `toml:"zones"`
 	SameMS     Range    `toml:"same_ms"`
@@ -72,13 +72,13 @@
 	ServerSkew Range    `toml:"server_skew"`
 }
 
-// Front is what spreads connections over the front ends.
+// Front is the layer that distributes client connections over the front ends.
 type Front struct {
 	Entry   string `toml:"entry"`
 	NoticeS Range  `toml:"notice_s"`
 }
 
-// Clients is how clients repeat.
+// Clients is the retry behaviour of clients.
 type Clients struct {
 	Retries         Range    `toml:"retries"`
 	TryShare        Range    `toml:"try_share"`
@@ -90,7 +90,7 @@
 	MarksRetry      bool     `toml:"marks_retry"`
 }
 
-// Discovery is how late the list of workers tells.
+// Discovery is the delay with which the worker list reports changes.
 type Discovery struct {
 	Mode          string `toml:"mode"`
 	NoticeS       Range  `toml:"notice_s"`
@@ -100,7 +100,7 @@
 	SpreadMS      Range  `toml:"spread_ms"`
 }
 
-// Allow is what front ends may do.
+// Allow is what front ends are permitted to do.
 type Allow struct {
 	Probes       bool `toml:"probes"`
 	Peers        bool `toml:"peers"`
@@ -111,14 +111,14 @@
 	CPUMSPerS    int  `toml:"cpu_ms_per_s"`
 }
 
-// Rules are the figures of the rules.
+// Rules are the parameters of the rules that front ends must keep.
 type Rules struct {
 	DrainGraceMS int `toml:"drain_grace_ms"`
 	FallMultiple int `toml:"fall_multiple"`
 	FallMS       int `toml:"fall_ms"`
 }
 
-// Goal weighs the parts of a day.
+// Goal is the weight of each part of a day in its score.
 type Goal struct {
 	Whole       float64 `toml:"whole"`
 	WorstWindow float64 `toml:"worst_window"`
@@ -126,7 +126,7 @@
 	WorstTenant float64 `toml:"worst_tenant,omitempty"`
 }
 
-// Prices are taken off a day's worth.
+// Prices are subtracted from the gain of a day.
 type Prices struct {
 	CrossZone float64 `toml:"cross_zone"`
 	Waste     float64 `toml:"waste"`
@@ -147,7 +147,7 @@
 	Kinds    []Kind `toml:"kind"`
 }
 
-// Report is what workers tell of their load.
+// Report is how workers report their load.
 type Report struct {
 	How      string   `toml:"how"`
 	Fields   []string `toml:"fields"`
@@ -156,7 +156,7 @@
 	Noise    Range    `toml:"noise"`
 }
 
-// Conn is what connections to workers cost.
+// Conn is the cost and the limits of connections to workers.
 type Conn struct {
 	Streams          int    `toml:"streams"`
 	HandshakeRTTs    [2]int `toml:"handshake_rtts"`
@@ -167,7 +167,7 @@
 	FullTax          Range  `toml:"full_tax"`
 }
 
-// Probe is what checks cost.
+// Probe is the cost of checks.
 type Probe struct {
 	WorkUS     Range `toml:"work_us"`
 	CapPerCore Range `toml:"cap_per_core"`
@@ -219,7 +219,7 @@
 	Usage Range   `toml:"usage"`
 }
 
-// Functions is what is loaded, and how.
+// Functions is the set of functions, and how workers load them.
 type Functions struct {
 	OnMiss            string          `toml:"on_miss"`
 	Orders            bool            `toml:"orders"`
@@ -255,7 +255,7 @@
 	Classes           []FunctionClass `toml:"class"`
 }
 
-// FunctionClass is one size of function.
+// FunctionClass is a class of functions with similar size and load time.
 type FunctionClass struct {
 	MemoryMB  Range `toml:"memory_mb"`
 	SizeSigma Range `toml:"size_sigma"`
@@ -265,7 +265,7 @@
 	WorkSigma Range `toml:"work_sigma"`
 }
 
-// Trouble is one kind of trouble that the site has of its own.
+// Trouble is a kind of trouble that is specific to the site.
 type Trouble struct {
 	Name   string `toml:"name"`
 	LenS   *Range `toml:"len_s,omitempty"`
