--- a/internal/rehearse/config.go
+++ b/internal/rehearse/config.go
@@ -30,8 +30,8 @@
 }
 
 // submitConfigs submits t.Size configurations per second; the share t.Part of them is invalid.
-func (m *faultInjector) submitConfigs(ctx context.Context, t settings.Trouble, rng *rand.Rand) error {
-	client, err := control.Dial(m.fleet.controlSockets())
+func (inj *faultInjector) submitConfigs(ctx context.Context, t settings.Trouble, rng *rand.Rand) error {
+	client, err := control.Dial(inj.fleet.controlSockets())
 	if err != nil {
 		return err
 	}
@@ -41,61 +41,61 @@
 	interval := time.Duration(float64(time.Second) / max(t.Size, 0.001))
 	for n := 0; sleep(ctx, interval); n++ {
 		bad := rng.Float64() < t.Part
-		text, err := scenario.Configuration(m.fleet.scenario, m.fleet.dir, n, bad, rng)
+		text, err := scenario.Configuration(inj.fleet.scenario, inj.fleet.dir, n, bad, rng)
 		if err != nil {
 			return err
 		}
-		m.submit(ctx, client, text, bad) // one after the other, so a slow service receives fewer
+		inj.submit(ctx, client, text, bad) // one after the other, so a slow service receives fewer
 	}
 	return nil
 }
 
 // submit submits one configuration and counts the result.
-func (m *faultInjector) submit(ctx context.Context, client *control.Client, text string, bad bool) {
+func (inj *faultInjector) submit(ctx context.Context, client *control.Client, text string, bad bool) {
 	version, err := client.Submit(ctx, &wire.SubmitRequest{Text: text, By: "rehearsal", Unchecked: true})
-	m.configs.mu.Lock()
-	defer m.configs.mu.Unlock()
-	if m.configs.submitted++; err != nil {
-		m.configs.notConfirmed++
+	inj.configs.mu.Lock()
+	defer inj.configs.mu.Unlock()
+	if inj.configs.submitted++; err != nil {
+		inj.configs.notConfirmed++
 		return
 	}
-	if m.configs.bad == nil {
-		m.configs.bad = map[uint64]bool{}
+	if inj.configs.bad == nil {
+		inj.configs.bad = map[uint64]bool{}
 	}
-	m.configs.bad[version] = bad
+	inj.configs.bad[version] = bad
 }
 
 // submitMove submits a configuration that changes the shape of the scenario's service; see scenario.Move.
-func (m *faultInjector) submitMove(ctx context.Context) error {
-	client, err := control.Dial(m.fleet.controlSockets())
+func (inj *faultInjector) submitMove(ctx context.Context) error {
+	client, err := control.Dial(inj.fleet.controlSockets())
 	if err != nil {
 		return err
 	}
 	defer client.Close()
-	text, err := scenario.Move(m.fleet.scenario)
+	text, err := scenario.Move(inj.fleet.scenario)
 	if err != nil {
 		return err
 	}
-	m.submit(ctx, client, text, false)
+	inj.submit(ctx, client, text, false)
 	return nil
 }
 
 // killControlInstance kills an instance of the control service and restarts it after the downtime.
-func (m *faultInjector) killControlInstance(ctx context.Context, i int, downtime time.Duration) error {
-	p := m.fleet.signalProcess(controlName(i), syscall.SIGKILL)
+func (inj *faultInjector) killControlInstance(ctx context.Context, i int, downtime time.Duration) error {
+	p := inj.fleet.signalProcess(controlName(i), syscall.SIGKILL)
 	<-p.done
 	sleep(ctx, downtime)
-	return m.fleet.startControlInstance(ctx, i)
+	return inj.fleet.startControlInstance(ctx, i)
 }
 
 // pauseControl pauses all instances of the control service for a time.
-func (m *faultInjector) pauseControl(ctx context.Context, span time.Duration) error {
-	for i := range m.fleet.scenario.Fleet.Control.Instances {
-		m.fleet.signalProcess(controlName(i), syscall.SIGSTOP)
+func (inj *faultInjector) pauseControl(ctx context.Context, span time.Duration) error {
+	for i := range inj.fleet.scenario.Fleet.Control.Instances {
+		inj.fleet.signalProcess(controlName(i), syscall.SIGSTOP)
 	}
 	sleep(ctx, span)
-	for i := range m.fleet.scenario.Fleet.Control.Instances {
-		m.fleet.signalProcess(controlName(i), syscall.SIGCONT)
+	for i := range inj.fleet.scenario.Fleet.Control.Instances {
+		inj.fleet.signalProcess(controlName(i), syscall.SIGCONT)
 	}
 	return nil
 }
--- a/internal/rehearse/load.go
+++ b/internal/rehearse/load.go
@@ -63,31 +63,31 @@
 }
 
 func newLoadGenerator(s *settings.Scenario, f *fleet, addRecord func(record.Record)) (*loadGenerator, error) {
-	c := &loadGenerator{scenario: s, fleet: f, addRecord: addRecord, book: scenario.NewBook(s), methods: map[string]*settings.Method{},
+	g := &loadGenerator{scenario: s, fleet: f, addRecord: addRecord, book: scenario.NewBook(s), methods: map[string]*settings.Method{},
 		deadSince: make([]time.Time, s.Fleet.FrontEnds)}
 	for i := range s.Service.Methods {
 		m := &s.Service.Methods[i]
-		c.methods[m.Name] = m
+		g.methods[m.Name] = m
 	}
 	for i := range s.Fleet.FrontEnds {
-		c.pools = append(c.pools, &connPool{generator: c, frontEnd: i, conns: make([]*jsonrpc.Caller, s.Clients.Connections)})
+		g.pools = append(g.pools, &connPool{generator: g, frontEnd: i, conns: make([]*jsonrpc.Caller, s.Clients.Connections)})
 		conn, err := grpc.NewClient("unix:"+f.grpcSocket(i), grpc.WithTransportCredentials(insecure.NewCredentials()),
 			grpc.WithConnectParams(grpc.ConnectParams{Backoff: redialBackoff, MinConnectTimeout: time.Second}))
 		if err != nil {
 			return nil, err
 		}
-		c.grpcConns = append(c.grpcConns, conn)
-		c.grpcClients = append(c.grpcClients, oip.NewGRPCInferenceServiceClient(conn))
+		g.grpcConns = append(g.grpcConns, conn)
+		g.grpcClients = append(g.grpcClients, oip.NewGRPCInferenceServiceClient(conn))
 	}
-	return c, nil
+	return g, nil
 }
 
 // redialBackoff bounds how soon gRPC clients reconnect to a front end that restarted.
 var redialBackoff = backoff.Config{BaseDelay: 20 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: 300 * time.Millisecond}
 
 // close closes the gRPC connections.
-func (c *loadGenerator) close() {
-	for _, conn := range c.grpcConns {
+func (g *loadGenerator) close() {
+	for _, conn := range g.grpcConns {
 		conn.Close()
 	}
 }
@@ -125,67 +125,67 @@
 
 // pickFrontEnd chooses a front end at random, as a plain load balancer in front of them would; dead ones are left out
 // after the notice time.
-func (c *loadGenerator) pickFrontEnd(rng *rand.Rand) int {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return scenario.Front(rng, len(c.deadSince), func(i int) time.Duration {
-		if c.deadSince[i].IsZero() {
+func (g *loadGenerator) pickFrontEnd(rng *rand.Rand) int {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return scenario.Front(rng, len(g.deadSince), func(i int) time.Duration {
+		if g.deadSince[i].IsZero() {
 			return -1
 		}
-		return time.Since(c.deadSince[i])
-	}, eventloop.ToDuration(c.scenario.Clients.Notice))
+		return time.Since(g.deadSince[i])
+	}, eventloop.ToDuration(g.scenario.Clients.Notice))
 }
 
 // setFrontEndDead notes whether a front end is dead or runs.
-func (c *loadGenerator) setFrontEndDead(i int, dead bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.deadSince[i] = (time.Time{}); dead {
-		c.deadSince[i] = time.Now()
+func (g *loadGenerator) setFrontEndDead(i int, dead bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.deadSince[i] = (time.Time{}); dead {
+		g.deadSince[i] = time.Now()
 	}
 }
 
 // run sends the scenario's load and waits until every RPC is answered or its client has given up.
-func (c *loadGenerator) run(ctx context.Context) {
-	arrivals := scenario.NewArrivals(c.scenario)
-	c.start = time.Now()
+func (g *loadGenerator) run(ctx context.Context) {
+	arrivals := scenario.NewArrivals(g.scenario)
+	g.start = time.Now()
 	var rpcs sync.WaitGroup
 	for ctx.Err() == nil {
 		arrival, more := arrivals.Next()
 		if !more {
 			break
 		}
-		if c.shareCount > 1 && arrival.N%c.shareCount != c.shareIndex { // sent by another process
+		if g.shareCount > 1 && arrival.N%g.shareCount != g.shareIndex { // sent by another process
 			continue
 		}
-		if wait := time.Until(c.start.Add(arrival.At)); wait > 0 {
+		if wait := time.Until(g.start.Add(arrival.At)); wait > 0 {
 			time.Sleep(wait)
 		}
 		rpcs.Add(1)
 		go func() {
 			defer rpcs.Done()
-			c.runClient(ctx, arrival)
+			g.runClient(ctx, arrival)
 		}()
 	}
 	rpcs.Wait()
 }
 
 // runClient sends one client's RPC, with its repeats, and counts the result.
-func (c *loadGenerator) runClient(ctx context.Context, arrival scenario.Arrival) {
-	method := c.methods[arrival.Mix.Method]
-	client := scenario.NewClient(c.scenario, method, arrival)
-	began := c.start.Add(arrival.At)
+func (g *loadGenerator) runClient(ctx context.Context, arrival scenario.Arrival) {
+	method := g.methods[arrival.Mix.Method]
+	client := scenario.NewClient(g.scenario, method, arrival)
+	began := g.start.Add(arrival.At)
 	deadline := began.Add(eventloop.ToDuration(method.Deadline))
 	outcome := scenario.Lost
 	for try := 0; ctx.Err() == nil; try++ {
-		timeout, repeat, ok := client.Try(time.Since(c.start), time.Until(deadline))
+		timeout, repeat, ok := client.Try(time.Since(g.start), time.Until(deadline))
 		if !ok {
 			break
 		}
 		var sent bool
 		var retryAfter time.Duration
-		outcome, sent, retryAfter = c.sendTry(ctx, c.pickFrontEnd(client.Rand()), fmt.Sprintf("%d/%d", arrival.N, try), client, arrival, timeout, repeat)
-		wait, retry := client.Again(time.Since(c.start), outcome, sent, retryAfter)
+		outcome, sent, retryAfter = g.sendTry(ctx, g.pickFrontEnd(client.Rand()), fmt.Sprintf("%d/%d", arrival.N, try), client, arrival, timeout, repeat)
+		wait, retry := client.Again(time.Since(g.start), outcome, sent, retryAfter)
 		if !retry {
 			break
 		}
@@ -197,29 +197,29 @@
 	if outcome == scenario.Quit { // the client left: not counted
 		return
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.book.Count(method, arrival.At, outcome, time.Since(began))
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.book.Count(method, arrival.At, outcome, time.Since(began))
 }
 
 // sendTry sends one try of an RPC and waits for its answer until the timeout. Later answers are still recorded.
-func (c *loadGenerator) sendTry(ctx context.Context, fe int, mark string, client *scenario.Client, arrival scenario.Arrival, timeout time.Duration,
+func (g *loadGenerator) sendTry(ctx context.Context, fe int, mark string, client *scenario.Client, arrival scenario.Arrival, timeout time.Duration,
 	repeat bool) (outcome string, sent bool, retryAfter time.Duration) {
 	m, mix, function, token := client.Method, arrival.Mix, arrival.Function, client.Token
 	if mix.Front != jsonRPCProtocol && !arrival.Once {
-		addRecord, ms := c.tryRecorder(fe, mark, token, function, m, timeout)
+		addRecord, ms := g.tryRecorder(fe, mark, token, function, m, timeout)
 		if mix.Front == "grpc" {
-			return c.sendGRPC(ctx, fe, mark, token, function, mix, m, ms, addRecord)
+			return g.sendGRPC(ctx, fe, mark, token, function, mix, m, ms, addRecord)
 		}
-		return c.sendHTTP(ctx, fe, mark, token, function, mix, m, ms, addRecord)
+		return g.sendHTTP(ctx, fe, mark, token, function, mix, m, ms, addRecord)
 	}
 	leaveAfter, closes, impatient := client.Impatient()
 	var conn *jsonrpc.Caller
 	var err error
 	if impatient { // it uses a connection of its own, which it may close
-		conn, err = c.pools[fe].dial(ctx)
+		conn, err = g.pools[fe].dial(ctx)
 	} else {
-		conn, err = c.pools[fe].get(ctx)
+		conn, err = g.pools[fe].get(ctx)
 	}
 	if err != nil {
 		return "lost", false, 0
@@ -234,7 +234,7 @@
 	if repeat {
 		params = append(params, `,"repeat":true`...)
 	}
-	addRecord, ms := c.tryRecorder(fe, mark, token, function, m, timeout)
+	addRecord, ms := g.tryRecorder(fe, mark, token, function, m, timeout)
 	params = strconv.AppendFloat(append(params, `,"time_ms":`...), ms, 'f', 1, 64)
 	params = append(jsonrpc.AppendString(append(params, `,"payload":{"mark":`...), mark), "}}"...)
 	addRecord(record.Sent, "")
@@ -289,22 +289,22 @@
 }
 
 // tryRecorder returns a function that records the events of one try, and the timeout in ms that the request states.
-func (c *loadGenerator) tryRecorder(fe int, mark, token, function string, m *settings.Method, timeout time.Duration) (
+func (g *loadGenerator) tryRecorder(fe int, mark, token, function string, m *settings.Method, timeout time.Duration) (
 	addRecord func(kind, outcome string), ms float64) {
 	ms = math.Floor(float64(timeout)/1e5) / 10
 	return func(kind, outcome string) {
-		c.addRecord(record.Record{T: time.Now().UnixNano(), Who: "client", FrontEnd: frontEndName(fe), RPC: mark, Method: m.Name,
+		g.addRecord(record.Record{T: time.Now().UnixNano(), Who: "client", FrontEnd: frontEndName(fe), RPC: mark, Method: m.Name,
 			Function: function, Token: token, Time: ms, Kind: kind, Outcome: outcome})
 	}, ms
 }
 
 // slack is how long a client waits beyond its timeout, so that late answers are recorded, too.
-func (c *loadGenerator) slack() time.Duration {
-	return eventloop.ToDuration(c.scenario.Slack) + time.Second
+func (g *loadGenerator) slack() time.Duration {
+	return eventloop.ToDuration(g.scenario.Slack) + time.Second
 }
 
 // sendGRPC is sendTry over KServe's gRPC; one connection carries many RPCs.
-func (c *loadGenerator) sendGRPC(ctx context.Context, fe int, mark, token, function string, mix settings.Mix,
+func (g *loadGenerator) sendGRPC(ctx context.Context, fe int, mark, token, function string, mix settings.Mix,
 	m *settings.Method, ms float64, addRecord func(kind, outcome string)) (outcome string, sent bool, retryAfter time.Duration) {
 	headers := []string{"inference-timeout-ms", strconv.FormatFloat(ms, 'f', 1, 64)}
 	if m.Effect == router.Tokened {
@@ -314,10 +314,10 @@
 		headers = append(headers, "inference-customer", mix.Customer)
 	}
 	ctx, cancel := context.WithTimeout(metadata.AppendToOutgoingContext(ctx, headers...),
-		time.Duration(ms*float64(time.Millisecond))+c.slack())
+		time.Duration(ms*float64(time.Millisecond))+g.slack())
 	defer cancel()
 	addRecord(record.Sent, "")
-	_, err := c.grpcClients[fe].ModelInfer(ctx, &oip.ModelInferRequest{ModelName: function,
+	_, err := g.grpcClients[fe].ModelInfer(ctx, &oip.ModelInferRequest{ModelName: function,
 		Parameters: map[string]*oip.InferParameter{"mark": {ParameterChoice: &oip.InferParameter_StringParam{StringParam: mark}}},
 		Inputs: []*oip.ModelInferRequest_InferInputTensor{{Name: "x", Datatype: "INT32", Shape: []int64{1},
 			Contents: &oip.InferTensorContents{IntContents: []int32{1}}}}})
@@ -344,7 +344,7 @@
 }
 
 // sendHTTP is sendTry over KServe's HTTP.
-func (c *loadGenerator) sendHTTP(ctx context.Context, fe int, mark, token, function string, mix settings.Mix,
+func (g *loadGenerator) sendHTTP(ctx context.Context, fe int, mark, token, function string, mix settings.Mix,
 	m *settings.Method, ms float64, addRecord func(kind, outcome string)) (outcome string, sent bool, retryAfter time.Duration) {
 	body := fmt.Sprintf(`{"parameters":{"mark":%q},"inputs":[{"name":"x","datatype":"INT32","shape":[1],"data":[1]}]}`, mark)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://front/v2/models/"+function+"/infer", strings.NewReader(body))
@@ -360,12 +360,12 @@
 	}
 	// The request has a connection of its own: net/http would send it again if the front end closed a pooled
 	// connection.
-	conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "unix", c.fleet.httpSocket(fe))
+	conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "unix", g.fleet.httpSocket(fe))
 	if err != nil {
 		return "lost", false, 0
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(time.Duration(ms*float64(time.Millisecond)) + c.slack()))
+	_ = conn.SetDeadline(time.Now().Add(time.Duration(ms*float64(time.Millisecond)) + g.slack()))
 	addRecord(record.Sent, "")
 	req.Close = true
 	if err = req.Write(conn); err == nil {
--- a/internal/rehearse/rehearse.go
+++ b/internal/rehearse/rehearse.go
@@ -29,12 +29,12 @@
 	if err != nil {
 		return err
 	}
-	o, err := Play(ctx, s, exe, keep, log)
+	outcome, err := Play(ctx, s, exe, keep, log)
 	if err != nil {
 		return err
 	}
-	o.Print(out, s)
-	if len(o.Audit.Breaks) > 0 || o.Broken {
+	outcome.Print(out, s)
+	if len(outcome.Audit.Breaks) > 0 || outcome.Broken {
 		return ErrRuleBroken
 	}
 	return nil
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -173,27 +173,27 @@
 			// writing inherits the open file, and the script cannot be executed as long as it has it.
 			t.Parallel()
 			begin := time.Now()
-			o, err := Play(context.Background(), s, wrapper, filepath.Join(dir, "d"), zerolog.Nop())
+			outcome, err := Play(context.Background(), s, wrapper, filepath.Join(dir, "d"), zerolog.Nop())
 			if err != nil {
 				t.Fatal(err)
 			}
-			if c.rule == 0 && (o.Audit.RPCs < 100 || o.Audit.CallOuts < 100 || o.Audit.Effects < 100) {
-				t.Errorf("the auditor saw too few RPCs, call-outs or effects: %+v", o.Audit)
+			if c.rule == 0 && (outcome.Audit.RPCs < 100 || outcome.Audit.CallOuts < 100 || outcome.Audit.Effects < 100) {
+				t.Errorf("the auditor saw too few RPCs, call-outs or effects: %+v", outcome.Audit)
 			}
-			caught := 0
-			for _, violation := range o.Audit.Breaks {
+			found := 0
+			for _, violation := range outcome.Audit.Breaks {
 				if c.rule == 0 || violation.RPC == "" || violation.T < begin.UnixNano() || violation.T > time.Now().UnixNano() {
 					t.Errorf("unexpected or incomplete violation: %+v", violation)
 				}
 				if violation.Rule == c.rule {
-					caught++
+					found++
 				}
 			}
-			if c.rule > 0 && caught == 0 {
-				t.Errorf("broken rule not reported: %+v", o.Audit)
+			if c.rule > 0 && found == 0 {
+				t.Errorf("broken rule not reported: %+v", outcome.Audit)
 			}
-			if c.rule == 0 && o.Kept() < 0.5 {
-				t.Errorf("gain kept is %.2f, want at least 0.5", o.Kept())
+			if c.rule == 0 && outcome.Kept() < 0.5 {
+				t.Errorf("gain kept is %.2f, want at least 0.5", outcome.Kept())
 			}
 		})
 	}
