--- a/cmd/mallowlanding/outage_judge_test.go
+++ b/cmd/mallowlanding/outage_judge_test.go
@@ -35,8 +35,8 @@
 }
 
 // beginSilence notes that discovery stops reporting, endSilence that it reports again.
-func (f *outageFleet) beginSilence(clock time.Duration) {
-	f.silences = append(f.silences, silence{from: time.Now(), limit: cmp.Or(clock, silenceLimit)})
+func (f *outageFleet) beginSilence(limit time.Duration) {
+	f.silences = append(f.silences, silence{from: time.Now(), limit: cmp.Or(limit, silenceLimit)})
 }
 
 func (f *outageFleet) endSilence() { f.silences[len(f.silences)-1].until = time.Now() }
@@ -50,21 +50,21 @@
 	lateness := time.Duration(f.maxLateness.Load())
 	received, refused := map[messageKind]int{}, map[messageKind]int{}
 	violations, shown := 0, 0
-	for _, s := range f.messages {
-		if s.at.After(reportedBy) {
-			received[s.kind]++
-			if s.status != http.StatusOK {
-				refused[s.kind]++
+	for _, msg := range f.messages {
+		if msg.at.After(reportedBy) {
+			received[msg.kind]++
+			if msg.status != http.StatusOK {
+				refused[msg.kind]++
 			}
 		}
-		if s.drained.IsZero() || s.kind != callMessage && s.kind != orderMessage {
+		if msg.drained.IsZero() || msg.kind != callMessage && msg.kind != orderMessage {
 			continue
 		}
-		if limit := f.reportedAt(s.drained).Add(f.mode.grace + graceTolerance + lateness); s.at.After(limit) {
+		if limit := f.reportedAt(msg.drained).Add(f.mode.grace + graceTolerance + lateness); msg.at.After(limit) {
 			if violations++; shown < 5 {
 				shown++
-				f.t.Errorf("%s sent to draining worker %d, %v past its grace, %v into the outage", s.kind, s.worker,
-					s.at.Sub(limit).Round(time.Millisecond), s.at.Sub(began).Round(time.Millisecond))
+				f.t.Errorf("%s sent to draining worker %d, %v past its grace, %v into the outage", msg.kind, msg.worker,
+					msg.at.Sub(limit).Round(time.Millisecond), msg.at.Sub(began).Round(time.Millisecond))
 			}
 		}
 	}
