--- a/internal/configupdate/adopt.go
+++ b/internal/configupdate/adopt.go
@@ -123,7 +123,7 @@
 	case !o.DigestOK && o.Base != 0: // the base may be at fault
 		f.requestFull(o.Nonce)
 	case !o.DigestOK:
-		f.refuse(fmt.Sprintf("version %d: the digest of its text is not the one that was sent with it", o.Version))
+		f.refuse(fmt.Sprintf("version %d: its text has not the digest that came with it", o.Version))
 	case o.VersionRef == f.current:
 		f.accept()
 	case o.Version == f.current.Version:
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -312,8 +312,8 @@
 // errNotLeader is the error for a request to an instance that does not lead; it names the leader.
 func (s *service) errNotLeader() error {
 	_, id := s.raft.LeaderWithID()
-	return status.Errorf(codes.FailedPrecondition, "instance %s is not the leader; %s", s.config.Name,
-		map[bool]string{true: "no instance is at the moment", false: "instance " + string(id) + " is"}[id == ""])
+	return status.Errorf(codes.FailedPrecondition, "instance %s does not lead; %s", s.config.Name,
+		map[bool]string{true: "nobody does just now", false: "instance " + string(id) + " does"}[id == ""])
 }
 
 // propose replicates a command to a majority and returns the result of applying it.
@@ -328,7 +328,7 @@
 	case errors.Is(err, raft.ErrNotLeader):
 		return applyResult{}, s.errNotLeader()
 	case err != nil: // it may have been committed
-		return applyResult{}, status.Errorf(codes.Unknown, "the version may have been numbered, check the status: %v", err)
+		return applyResult{}, status.Errorf(codes.Unknown, "it may have been numbered, look at the status: %v", err)
 	}
 	return future.Response().(applyResult), nil
 }
@@ -468,7 +468,7 @@
 			}
 			return err
 		case <-s.ctx.Done():
-			return status.Error(codes.Unavailable, "the instance is shutting down")
+			return status.Error(codes.Unavailable, "the instance stops")
 		}
 	}
 }
@@ -487,7 +487,7 @@
 // handleRequest handles a message of the follower. A nonce of any response but the last one is stale and ignored.
 func (fs *followerStream) handleRequest(r *wire.FollowRequest) error {
 	if r.Follower == "" || fs.lastReport.Name != "" && r.Follower != fs.lastReport.Name {
-		return status.Errorf(codes.InvalidArgument, "message of follower %q on the stream of follower %q", r.Follower, fs.lastReport.Name)
+		return status.Errorf(codes.InvalidArgument, "follower %q on the stream of %q", r.Follower, fs.lastReport.Name)
 	}
 	report := rollout.Report{Name: r.Follower, Version: rollout.Version(r.Version), Digest: r.Digest, Saved: r.Kept,
 		Refused: fs.lastReport.Refused, Reason: fs.lastReport.Reason}
@@ -592,7 +592,7 @@
 	}
 	e := s.fsm.state.Entries[v]
 	if e == nil || e.Text == "" {
-		return nil, status.Errorf(codes.NotFound, "no version %d, or its text is no longer stored", v)
+		return nil, status.Errorf(codes.NotFound, "no version %d, or its text is kept no more", v)
 	}
 	return &wire.GetResponse{Version: uint64(v), Digest: e.Digest, Text: e.Text}, nil
 }
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -117,7 +117,7 @@
 // Submit adds a version and returns its number. Base, unless 0, must be the newest version.
 func (s *State) Submit(now Millis, text, digest, by, note string, base Version) (Version, error) {
 	if base != 0 && base != s.Newest {
-		return 0, fmt.Errorf("the newest version is %d, not %d: check what changed and submit again", s.Newest, base)
+		return 0, fmt.Errorf("the newest version is %d, not %d: look at what changed and submit again", s.Newest, base)
 	}
 	return s.addVersion(now, &Entry{Text: text, Digest: digest, By: by, Note: note}), nil
 }
@@ -165,7 +165,7 @@
 	case e.State != Past && e.State != Accepted:
 		return 0, fmt.Errorf("version %d was never accepted: it is %s", to, e.State)
 	case e.Text == "":
-		return 0, fmt.Errorf("version %d is too old: its text is no longer stored", to)
+		return 0, fmt.Errorf("version %d is too old: its text is kept no more", to)
 	}
 	s.supersedePending("rolled back")
 	if s.Candidate != 0 {
