--- a/internal/configclient/client.go
+++ b/internal/configclient/client.go
@@ -68,12 +68,12 @@
 	events   chan func()
 	stopped  chan struct{} // closed when Run ends; later events are dropped
 
-	resources   []settings.Resource // of the version in force
-	source      string
-	offers      map[configupdate.Version]*offer
-	sendRequest func(*wire.FollowRequest) // nil if there is no stream
-	lastHeard   time.Time
-	status      atomic.Pointer[Status]
+	resources     []settings.Resource // of the version in force
+	source        string
+	offers        map[configupdate.Version]*offer
+	sendRequest   func(*wire.FollowRequest) // nil if there is no stream
+	lastMessageAt time.Time
+	status        atomic.Pointer[Status]
 }
 
 // offer is a version received from the service, with its changes applied to their base.
@@ -104,7 +104,7 @@
 // New returns a client whose initial configuration is in force.
 func New(options Options, initial Initial) *Client {
 	c := &Client{options: options, events: make(chan func(), 64), stopped: make(chan struct{}), source: initial.Source,
-		lastHeard: time.Now(), offers: map[configupdate.Version]*offer{}}
+		lastMessageAt: time.Now(), offers: map[configupdate.Version]*offer{}}
 	current := configupdate.VersionRef{}
 	if initial.Saved.Version > 0 {
 		current = configupdate.VersionRef{Version: configupdate.Version(initial.Saved.Version),
@@ -128,7 +128,7 @@
 	current, saved := c.follower.Current()
 	refused, reason := c.follower.LastRefused()
 	c.status.Store(&Status{Version: uint64(current.Version), Digest: current.Digest, Source: c.source, Saved: saved,
-		Connected: c.sendRequest != nil, SilentMs: float64(time.Since(c.lastHeard).Milliseconds()),
+		Connected: c.sendRequest != nil, SilentMs: float64(time.Since(c.lastMessageAt).Milliseconds()),
 		Refused: uint64(refused.Version), Reason: reason})
 }
 
@@ -148,8 +148,8 @@
 	defer ticker.Stop()
 	for {
 		select {
-		case f := <-c.events:
-			f()
+		case event := <-c.events:
+			event()
 		case <-ticker.C:
 			if c.sendRequest != nil {
 				current, saved := c.follower.Current()
@@ -278,7 +278,7 @@
 	}
 	if accepted = header != nil; accepted {
 		c.options.Log.Info().Str("socket", socket).Msg("connected to the control service")
-		c.enqueue(func() { c.lastHeard = time.Now() })
+		c.enqueue(func() { c.lastMessageAt = time.Now() })
 	}
 	for {
 		r, err := stream.Recv()
@@ -291,7 +291,7 @@
 
 // handleResponse builds the configuration that a response stands for and offers it to the state machine.
 func (c *Client) handleResponse(resp *wire.FollowResponse) {
-	c.lastHeard = time.Now()
+	c.lastMessageAt = time.Now()
 	o := configupdate.Offer{VersionRef: configupdate.VersionRef{Version: configupdate.Version(resp.Version), Digest: resp.Digest},
 		Nonce: resp.Nonce, Base: configupdate.Version(resp.Base)}
 	current, _ := c.follower.Current()
@@ -300,8 +300,8 @@
 		base = c.resources
 	}
 	var set []settings.Resource
-	for _, p := range resp.Resources {
-		set = append(set, settings.Resource{Type: p.GetId().GetType(), Name: p.GetId().GetName(), Text: p.Text})
+	for _, r := range resp.Resources {
+		set = append(set, settings.Resource{Type: r.GetId().GetType(), Name: r.GetId().GetName(), Text: r.Text})
 	}
 	var removed []configdiff.ID
 	for _, id := range resp.Removed {
--- a/internal/configdiff/configdiff.go
+++ b/internal/configdiff/configdiff.go
@@ -31,8 +31,8 @@
 
 func textsByID(resources []settings.Resource) map[ID]string {
 	out := map[ID]string{}
-	for _, p := range resources {
-		out[ID{p.Type, p.Name}] = p.Text
+	for _, r := range resources {
+		out[ID{r.Type, r.Name}] = r.Text
 	}
 	return out
 }
@@ -40,14 +40,14 @@
 // Diff returns the resources to set and to remove in order to turn configuration from into configuration to.
 func Diff(from, to []settings.Resource) (set []settings.Resource, removed []ID) {
 	before, after := textsByID(from), textsByID(to)
-	for _, p := range to {
-		if text, existed := before[ID{p.Type, p.Name}]; !existed || text != p.Text {
-			set = append(set, p)
+	for _, r := range to {
+		if text, existed := before[ID{r.Type, r.Name}]; !existed || text != r.Text {
+			set = append(set, r)
 		}
 	}
-	for _, p := range from {
-		if _, exists := after[ID{p.Type, p.Name}]; !exists {
-			removed = append(removed, ID{p.Type, p.Name})
+	for _, r := range from {
+		if _, exists := after[ID{r.Type, r.Name}]; !exists {
+			removed = append(removed, ID{r.Type, r.Name})
 		}
 	}
 	return set, removed
@@ -59,13 +59,13 @@
 	for _, id := range removed {
 		replaced[id] = true
 	}
-	for _, p := range set {
-		replaced[ID{p.Type, p.Name}] = true
+	for _, r := range set {
+		replaced[ID{r.Type, r.Name}] = true
 	}
 	var out []settings.Resource
-	for _, p := range base {
-		if !replaced[ID{p.Type, p.Name}] {
-			out = append(out, p)
+	for _, r := range base {
+		if !replaced[ID{r.Type, r.Name}] {
+			out = append(out, r)
 		}
 	}
 	out = append(out, set...)
@@ -81,16 +81,16 @@
 	for _, id := range removed {
 		out = append(out, fmt.Sprintf("- %s %s", id.Type, id.Name))
 	}
-	for _, p := range set {
-		if oldText, existed := before[ID{p.Type, p.Name}]; existed {
-			out = append(out, fmt.Sprintf("! %s %s", p.Type, p.Name))
+	for _, r := range set {
+		if oldText, existed := before[ID{r.Type, r.Name}]; existed {
+			out = append(out, fmt.Sprintf("! %s %s", r.Type, r.Name))
 			for line := range strings.Lines(oldText) {
 				out = append(out, "    - "+strings.TrimRight(line, "\n"))
 			}
 		} else {
-			out = append(out, fmt.Sprintf("+ %s %s", p.Type, p.Name))
+			out = append(out, fmt.Sprintf("+ %s %s", r.Type, r.Name))
 		}
-		for line := range strings.Lines(p.Text) {
+		for line := range strings.Lines(r.Text) {
 			out = append(out, "    + "+strings.TrimRight(line, "\n"))
 		}
 	}
--- a/internal/configupdate/follower_test.go
+++ b/internal/configupdate/follower_test.go
@@ -56,12 +56,12 @@
 			s := &recorder{}
 			f := New(s, VersionRef{3, "c"}, true)
 			for line := range strings.Lines(steps) {
-				w := strings.Fields(line)
-				if len(w) == 0 {
+				words := strings.Fields(line)
+				if len(words) == 0 {
 					continue
 				}
-				if w[0] == "want" {
-					if want := strings.Join(w[1:], " "); len(s.actions) == 0 || s.actions[0] != want {
+				if words[0] == "want" {
+					if want := strings.Join(words[1:], " "); len(s.actions) == 0 || s.actions[0] != want {
 						t.Fatalf("got actions %[2]q, want %[1]q next", want, s.actions)
 					}
 					s.actions = s.actions[1:]
@@ -70,7 +70,7 @@
 				if len(s.actions) > 0 {
 					t.Fatalf("before step %q: unexpected actions %q", strings.TrimSpace(line), s.actions)
 				}
-				step(t, f, w)
+				step(t, f, words)
 			}
 			if len(s.actions) > 0 {
 				t.Fatalf("at the end: unexpected actions %q", s.actions)
@@ -79,22 +79,22 @@
 	}
 }
 
-func step(t *testing.T, f *Follower, w []string) {
+func step(t *testing.T, f *Follower, words []string) {
 	number := func(i int) Version {
-		n, err := strconv.ParseUint(w[i], 10, 64)
+		n, err := strconv.ParseUint(words[i], 10, 64)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return Version(n)
 	}
-	switch w[0] {
+	switch words[0] {
 	case "connected":
 		f.HandleConnect()
 	case "lost":
 		f.HandleDisconnect()
 	case "offer":
-		o := Offer{VersionRef: VersionRef{number(2), w[3]}, Nonce: w[1], DigestOK: true}
-		for _, option := range w[4:] {
+		o := Offer{VersionRef: VersionRef{number(2), words[3]}, Nonce: words[1], DigestOK: true}
+		for _, option := range words[4:] {
 			if base, is := strings.CutPrefix(option, "base="); is {
 				n, _ := strconv.ParseUint(base, 10, 64)
 				o.Base = Version(n)
@@ -103,13 +103,13 @@
 		}
 		f.HandleOffer(o)
 	case "checked":
-		f.HandleCheckResult(number(1), strings.Join(w[2:], " "))
+		f.HandleCheckResult(number(1), strings.Join(words[2:], " "))
 	case "applied":
-		f.HandleApplyResult(number(1), strings.Join(w[2:], " "))
+		f.HandleApplyResult(number(1), strings.Join(words[2:], " "))
 	case "kept":
-		f.HandleSaveResult(number(1), strings.Join(w[2:], " "))
+		f.HandleSaveResult(number(1), strings.Join(words[2:], " "))
 	default:
-		t.Fatalf("unknown step %q", w[0])
+		t.Fatalf("unknown step %q", words[0])
 	}
 }
 
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -362,7 +362,7 @@
 }
 
 // runTicks proposes a tick whenever one is due for the rollout, and tracks whether this instance leads.
-func (s *service) runTicks(ctx context.Context, set rollout.Settings) {
+func (s *service) runTicks(ctx context.Context, rolloutSettings rollout.Settings) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	wasLeader := false
@@ -375,7 +375,7 @@
 		term := s.raft.CurrentTerm()
 		if s.raft.State() == raft.Leader && s.readyTerm.Load() != term {
 			// a new leader replicates its own settings; once they are committed, all earlier entries are applied
-			if _, err := s.propose(command{Settings: &set}); err == nil {
+			if _, err := s.propose(command{Settings: &rolloutSettings}); err == nil {
 				s.readyTerm.Store(term)
 			}
 		}
@@ -543,8 +543,8 @@
 		}
 	}
 	fs.fullRequested = false
-	for _, p := range changed {
-		resp.Resources = append(resp.Resources, &wire.Resource{Id: &wire.ResourceName{Type: p.Type, Name: p.Name}, Text: p.Text})
+	for _, r := range changed {
+		resp.Resources = append(resp.Resources, &wire.Resource{Id: &wire.ResourceName{Type: r.Type, Name: r.Name}, Text: r.Text})
 	}
 	return resp
 }
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -353,19 +353,19 @@
 }
 
 // startFollower runs a real follower that accepts every valid version without applying anything.
-func startFollower(t *testing.T, cluster *testCluster, fs lastgood.FS) (s *configclient.Client, stop func()) {
-	o := configclient.Options{Name: "f", Sockets: cluster.sockets(), Store: lastgood.Store{FS: fs, Path: cluster.path("kept")},
+func startFollower(t *testing.T, cluster *testCluster, fs lastgood.FS) (follower *configclient.Client, stop func()) {
+	options := configclient.Options{Name: "f", Sockets: cluster.sockets(), Store: lastgood.Store{FS: fs, Path: cluster.path("kept")},
 		RedialMin: 5 * time.Millisecond, RedialMax: 20 * time.Millisecond, ReportInterval: 20 * time.Millisecond, Log: zerolog.Nop(),
 		Check: func(v uint64, text string) (configclient.Change, error) {
 			_, err := settings.ReadConfiguration(fmt.Sprintf("version %d", v), strings.NewReader(text))
 			return noopChange{}, err
 		}}
-	b, _ := configclient.LoadInitial(o)
-	s = configclient.New(o, b)
+	initial, _ := configclient.LoadInitial(options)
+	follower = configclient.New(options, initial)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { defer close(ended); _ = s.Run(ctx) }()
-	return s, func() { cancel(); <-ended }
+	go func() { defer close(ended); _ = follower.Run(ctx) }()
+	return follower, func() { cancel(); <-ended }
 }
 
 type noopChange struct{}
@@ -381,11 +381,11 @@
 	release chan struct{}
 }
 
-func (f *hangingDisk) Rename(from, to string) error {
-	err := f.Disk.Rename(from, to)
+func (d *hangingDisk) Rename(from, to string) error {
+	err := d.Disk.Rename(from, to)
 	if strings.HasSuffix(from, ".new") {
-		close(f.saved)
-		<-f.release
+		close(d.saved)
+		<-d.release
 	}
 	return err
 }
@@ -405,13 +405,13 @@
 	}
 	go func() { time.Sleep(10 * time.Millisecond); close(disk.release) }()
 	stop()
-	s, stop := startFollower(t, cluster, lastgood.Disk{})
+	follower, stop := startFollower(t, cluster, lastgood.Disk{})
 	defer stop()
 	waitFor(t, "the version is accepted", func() bool {
 		_, st, err := c.Leader(context.Background())
 		return err == nil && st.Stable == v
 	})
-	if got := s.Status(); got.Version != v || got.Source != "disk" {
+	if got := follower.Status(); got.Version != v || got.Source != "disk" {
 		t.Errorf("status of the follower: %+v", got)
 	}
 }
@@ -421,9 +421,9 @@
 func TestStoreRestoredFromBackup(t *testing.T) {
 	cluster := newTestCluster(t, 1)
 	c := cluster.client()
-	s, stop := startFollower(t, cluster, lastgood.Disk{})
+	follower, stop := startFollower(t, cluster, lastgood.Disk{})
 	defer stop()
-	runs := func(v uint64) func() bool { return func() bool { return s.Status().Version == v } }
+	runs := func(v uint64) func() bool { return func() bool { return follower.Status().Version == v } }
 	submit(t, c, 1)
 	waitFor(t, "the follower runs version 1", runs(1))
 	cluster.stop(0)
@@ -445,7 +445,7 @@
 		_, st, err := c.Leader(context.Background())
 		return err == nil && len(st.Followers) == 1 && st.Followers[0].Version == 5
 	})
-	if got := s.Status(); got.Version != 5 || got.Refused != 0 {
+	if got := follower.Status(); got.Version != 5 || got.Refused != 0 {
 		t.Errorf("status of the follower: %+v", got)
 	}
 	if v := submit(t, c, 9); v != 6 {
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -83,7 +83,7 @@
 		}
 		grids = next
 	}
-	for _, d := range x.Days {
+	for _, d := range x.Scenarios {
 		for _, g := range grids {
 			for _, p := range policies {
 				var set []string
--- a/internal/lastgood/lastgood_test.go
+++ b/internal/lastgood/lastgood_test.go
@@ -166,16 +166,16 @@
 			next++
 		}
 		f.crash()
-		k, _, ok := s.Load()
+		loaded, _, ok := s.Load()
 		if saved > 0 && !ok {
 			t.Fatalf("crash %d: nothing found, but version %d was saved", crash, saved)
 		}
 		if ok {
 			found++
-			if k.Version < saved || k.Version >= next || k.Text != text(k.Version) || k.SavedAt.UnixMilli() != int64(k.Version) {
-				t.Fatalf("crash %d: found version %d, but %d was saved and %d was written last", crash, k.Version, saved, next-1)
+			if loaded.Version < saved || loaded.Version >= next || loaded.Text != text(loaded.Version) || loaded.SavedAt.UnixMilli() != int64(loaded.Version) {
+				t.Fatalf("crash %d: found version %d, but %d was saved and %d was written last", crash, loaded.Version, saved, next-1)
 			}
-			saved = k.Version // a version that was found once must not be lost later
+			saved = loaded.Version // a version that was found once must not be lost later
 		}
 	}
 	if found < 9900 || failed != 10000 {
@@ -210,9 +210,9 @@
 	}
 	check := func(what string) {
 		t.Helper()
-		k, problems, ok := s.Load()
-		if !ok || k.Version != 1 || len(problems) != 1 || !strings.Contains(problems[0].Error(), s.Path) {
-			t.Errorf("%s: %v, %v, %v", what, k, problems, ok)
+		loaded, problems, ok := s.Load()
+		if !ok || loaded.Version != 1 || len(problems) != 1 || !strings.Contains(problems[0].Error(), s.Path) {
+			t.Errorf("%s: %v, %v, %v", what, loaded, problems, ok)
 		}
 	}
 	for i := range good {
@@ -232,7 +232,7 @@
 	v := uint64(1)
 	for ; s.Save(Saved{v, time.UnixMilli(1), "text"}) == nil; v++ {
 	}
-	if k, _, ok := s.Load(); v < 2 || !ok || k.Version != v-1 {
-		t.Errorf("got %v, %v after Save of version %d failed", k, ok, v)
+	if loaded, _, ok := s.Load(); v < 2 || !ok || loaded.Version != v-1 {
+		t.Errorf("got %v, %v after Save of version %d failed", loaded, ok, v)
 	}
 }
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -110,8 +110,8 @@
 const maxTexts = 100
 
 // New returns a state without versions and followers.
-func New(set Settings) *State {
-	return &State{Settings: set, Entries: map[Version]*Entry{}, Followers: map[string]*follower{}}
+func New(settings Settings) *State {
+	return &State{Settings: settings, Entries: map[Version]*Entry{}, Followers: map[string]*follower{}}
 }
 
 // Submit adds a version and returns its number. Base, unless 0, must be the newest version.
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -36,10 +36,10 @@
 		name, steps, _ := strings.Cut(part, "\n")
 		t.Run(name, func(t *testing.T) {
 			p := &player{t: t, s: New(Settings{Stages: []float64{0.25, 1}, Hold: 100, AnswerTimeout: 1000, LiveTimeout: 500,
-				MaxOKDrop: 0.1, MinRPCs: 10}), runs: map[string]*Report{}, away: map[string]bool{}}
+				MaxOKDrop: 0.1, MinRPCs: 10}), reports: map[string]*Report{}, away: map[string]bool{}}
 			for line := range strings.Lines(steps) {
-				if w := strings.Fields(line); len(w) > 0 && w[0] != "#" {
-					if err := p.step(w); err != nil {
+				if words := strings.Fields(line); len(words) > 0 && words[0] != "#" {
+					if err := p.step(words); err != nil {
 						t.Fatalf("%s: %v", strings.TrimSpace(line), err)
 					}
 				}
@@ -50,17 +50,17 @@
 
 // player runs the steps of a scenario.
 type player struct {
-	t    *testing.T
-	s    *State
-	now  Millis
-	runs map[string]*Report
-	away map[string]bool
-	err  error
+	t       *testing.T
+	s       *State
+	now     Millis
+	reports map[string]*Report
+	away    map[string]bool
+	err     error
 }
 
 func (p *player) names() []string {
 	var out []string
-	for name := range p.runs {
+	for name := range p.reports {
 		out = append(out, name)
 	}
 	slices.Sort(out)
@@ -68,7 +68,7 @@
 }
 
 func (p *player) answer(name string) {
-	r, target := p.runs[name], p.s.Target(name)
+	r, target := p.reports[name], p.s.Target(name)
 	if e := p.s.Entries[target]; target > r.Version && e != nil && !p.away[name] {
 		if strings.HasPrefix(e.Text, "bad") {
 			r.Refused, r.Reason = target, "it is bad"
@@ -79,14 +79,14 @@
 	}
 }
 
-func (p *player) step(w []string) error {
-	version := func(i int) Version { n, _ := strconv.Atoi(w[i]); return Version(n) }
-	switch w[0] {
+func (p *player) step(words []string) error {
+	version := func(i int) Version { n, _ := strconv.Atoi(words[i]); return Version(n) }
+	switch words[0] {
 	case "followers":
-		n, _ := strconv.Atoi(w[1])
+		n, _ := strconv.Atoi(words[1])
 		for i := range n {
 			r := &Report{Name: fmt.Sprintf("f%d", i)}
-			p.runs[r.Name] = r
+			p.reports[r.Name] = r
 			p.s.RecordReport(p.now, *r)
 		}
 	case "at":
@@ -94,18 +94,18 @@
 			p.now += 10
 			for _, name := range p.names() {
 				if p.now%100 == 0 && !p.away[name] {
-					p.s.RecordReport(p.now, *p.runs[name])
+					p.s.RecordReport(p.now, *p.reports[name])
 				}
 			}
 			p.s.Tick(p.now)
 		}
 	case "submit":
 		base := Version(0)
-		if len(w) > 2 {
-			n, _ := strconv.Atoi(strings.TrimPrefix(w[2], "base="))
+		if len(words) > 2 {
+			n, _ := strconv.Atoi(strings.TrimPrefix(words[2], "base="))
 			base = Version(n)
 		}
-		_, p.err = p.s.Submit(p.now, w[1], "digest of "+w[1], "op", "", base)
+		_, p.err = p.s.Submit(p.now, words[1], "digest of "+words[1], "op", "", base)
 	case "rollback":
 		_, p.err = p.s.Rollback(p.now, version(1), "op", "")
 	case "answers":
@@ -113,18 +113,18 @@
 			p.answer(name)
 		}
 	case "answer":
-		p.answer(w[1])
+		p.answer(words[1])
 	case "away", "back":
-		p.away[w[1]] = w[0] == "away"
+		p.away[words[1]] = words[0] == "away"
 	case "report":
-		p.runs[w[1]].Version = version(2)
-		p.s.RecordReport(p.now, *p.runs[w[1]])
+		p.reports[words[1]].Version = version(2)
+		p.s.RecordReport(p.now, *p.reports[words[1]])
 	case "rpcs":
-		share, _ := strconv.ParseFloat(w[1], 64)
+		share, _ := strconv.ParseFloat(words[1], 64)
 		n := float64(version(2))
 		for _, name := range p.names() {
-			r := p.runs[name]
-			if with := r.Version == p.s.Candidate; w[3] == "all" || with == (w[3] == "with") {
+			r := p.reports[name]
+			if with := r.Version == p.s.Candidate; words[3] == "all" || with == (words[3] == "with") {
 				ok := uint64(share * n)
 				r.Counters.OK += ok
 				r.Counters.Aborted += uint64(n) - ok
@@ -133,26 +133,26 @@
 			}
 		}
 	case "want":
-		return p.want(w[1:])
+		return p.want(words[1:])
 	default:
-		return fmt.Errorf("unknown step %q", w[0])
+		return fmt.Errorf("unknown step %q", words[0])
 	}
 	return nil
 }
 
-func (p *player) want(w []string) error {
-	n, _ := strconv.Atoi(w[min(1, len(w)-1)])
+func (p *player) want(words []string) error {
+	n, _ := strconv.Atoi(words[min(1, len(words)-1)])
 	e := p.s.Entries[Version(n)]
-	if (w[0] == "state" || w[0] == "reason") && e == nil {
+	if (words[0] == "state" || words[0] == "reason") && e == nil {
 		return fmt.Errorf("no version %d", n)
 	}
-	switch w[0] {
+	switch words[0] {
 	case "state":
-		if e.State != w[2] {
+		if e.State != words[2] {
 			return fmt.Errorf("got state %s: %s", e.State, e.Reason)
 		}
 	case "reason":
-		if text := strings.Join(w[2:], " "); !strings.Contains(e.Reason, text) {
+		if text := strings.Join(words[2:], " "); !strings.Contains(e.Reason, text) {
 			return fmt.Errorf("got reason %q", e.Reason)
 		}
 	case "stable":
@@ -160,15 +160,15 @@
 			return fmt.Errorf("got stable version %d", p.s.Stable)
 		}
 	case "error":
-		if text := strings.Join(w[1:], " "); p.err == nil || !strings.Contains(p.err.Error(), text) {
+		if text := strings.Join(words[1:], " "); p.err == nil || !strings.Contains(p.err.Error(), text) {
 			return fmt.Errorf("got error %v", p.err)
 		}
 	case "targets":
 		counts := map[Version]int{}
-		for name := range p.runs {
+		for name := range p.reports {
 			counts[p.s.Target(name)]++
 		}
-		for _, pair := range w[1:] {
+		for _, pair := range words[1:] {
 			v, count, _ := strings.Cut(pair, "=")
 			n, _ := strconv.Atoi(v)
 			if strconv.Itoa(counts[Version(n)]) != count {
@@ -186,17 +186,17 @@
 // that was restored from a snapshot.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := Settings{Stages: []float64{0.3, 1}, Hold: 20, AnswerTimeout: 300, LiveTimeout: 200, MaxOKDrop: 0.2, MinRPCs: 50}
-		s := New(set)
+		settings := Settings{Stages: []float64{0.3, 1}, Hold: 20, AnswerTimeout: 300, LiveTimeout: 200, MaxOKDrop: 0.2, MinRPCs: 50}
+		s := New(settings)
 		now := Millis(0)
-		runs := map[string]*Report{}
+		reports := map[string]*Report{}
 		for i := range rapid.IntRange(1, 6).Draw(t, "followers") {
 			name := fmt.Sprintf("f%d", i)
-			runs[name] = &Report{Name: name}
+			reports[name] = &Report{Name: name}
 		}
 		names := func() []string {
 			var out []string
-			for name := range runs {
+			for name := range reports {
 				out = append(out, name)
 			}
 			slices.Sort(out)
@@ -209,7 +209,7 @@
 			s.Tick(now)
 		}
 		report := func(name string) {
-			r, target := runs[name], s.Target(name)
+			r, target := reports[name], s.Target(name)
 			if e := s.Entries[target]; target > r.Version && e != nil {
 				if e.Text == "bad" {
 					r.Refused, r.Reason = target, "bad"
@@ -243,17 +243,17 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				back := New(set)
-				if err := json.Unmarshal(raw, back); err != nil {
+				restored := New(settings)
+				if err := json.Unmarshal(raw, restored); err != nil {
 					t.Fatal(err)
 				}
-				s = back
+				s = restored
 			},
 			"": func(t *rapid.T) {
 				last = max(last, s.Newest)
 				for _, name := range names() {
 					v := s.Target(name)
-					if r := runs[name]; r.Version > 0 && v < r.Version {
+					if r := reports[name]; r.Version > 0 && v < r.Version {
 						t.Fatalf("%s runs version %d, but its target is %d", name, r.Version, v)
 					}
 					targets[name] = v
@@ -276,7 +276,7 @@
 		if e := s.Entries[s.Stable]; e == nil || e.Text != "good" {
 			t.Fatalf("the last version %d is %+v; the stable version is %d", v, s.Entries[v], s.Stable)
 		}
-		for _, r := range runs {
+		for _, r := range reports {
 			if r.Digest != "good" {
 				t.Fatalf("follower %+v does not run the last version", r)
 			}
--- a/internal/settings/configuration.go
+++ b/internal/settings/configuration.go
@@ -27,13 +27,13 @@
 // Limits bound the open RPCs of clients, in number and bytes; see Clients.
 type Limits struct {
 	Pos
-	ConnOpen   int   `a:"open" def:"1000" min:"1" max:"1000000"`
-	ConnBytes  int64 `a:"open-bytes" def:"67108864" min:"0" max:"1099511627776"`
-	TotalOpen  int   `a:"whole-open" def:"20000" min:"1" max:"10000000"`
-	TotalBytes int64 `a:"whole-bytes" def:"268435456" min:"1024" max:"1099511627776"`
-	PeerOpen   int   `a:"peer-open" def:"0" min:"0" max:"10000000"`
-	PeerBytes  int64 `a:"peer-bytes" def:"0" min:"0" max:"1099511627776"`
-	MaxHeld    int   `a:"held" def:"16" min:"0" max:"1000000"`
+	ConnOpen        int   `a:"open" def:"1000" min:"1" max:"1000000"`
+	ConnBytes       int64 `a:"open-bytes" def:"67108864" min:"0" max:"1099511627776"`
+	TotalOpen       int   `a:"whole-open" def:"20000" min:"1" max:"10000000"`
+	TotalBytes      int64 `a:"whole-bytes" def:"268435456" min:"1024" max:"1099511627776"`
+	PeerOpen        int   `a:"peer-open" def:"0" min:"0" max:"10000000"`
+	PeerBytes       int64 `a:"peer-bytes" def:"0" min:"0" max:"1099511627776"`
+	MaxRouterQueued int   `a:"held" def:"16" min:"0" max:"1000000"`
 }
 
 // WorkerGroup is a group of workers that belong to the service even if no roster lists them.
@@ -217,7 +217,7 @@
 		return
 	}
 	c.ConnOpen, c.ConnBytes, c.TotalOpen, c.TotalBytes = l.ConnOpen, l.ConnBytes, l.TotalOpen, l.TotalBytes
-	c.PeerOpen, c.PeerBytes, c.MaxHeld = l.PeerOpen, l.PeerBytes, l.MaxHeld
+	c.PeerOpen, c.PeerBytes, c.MaxRouterQueued = l.PeerOpen, l.PeerBytes, l.MaxRouterQueued
 }
 
 // LimitSettings returns the settings of the front end's admission queue.
@@ -228,7 +228,7 @@
 	}
 	return admission.Settings{Total: admission.Limit{RPCs: c.TotalOpen, Bytes: c.TotalBytes},
 		Peer: admission.Limit{RPCs: c.PeerOpen, Bytes: c.PeerBytes}, Conn: admission.Limit{RPCs: c.ConnOpen, Bytes: c.ConnBytes},
-		MaxRouterQueued: c.MaxHeld, MaxRetryAfter: maxRetryAfter}
+		MaxRouterQueued: c.MaxRouterQueued, MaxRetryAfter: maxRetryAfter}
 }
 
 // CustomerNames returns the names of the customers by index, empty for removed ones.
@@ -308,20 +308,20 @@
 				}
 				continue
 			}
-			p := Resource{Type: path + child.name}
+			resource := Resource{Type: path + child.name}
 			for _, a := range child.attrs {
 				if a.Name.Local == "name" || a.Name.Local == "version" {
-					p.Name = strings.Trim(p.Name+"/"+a.Value, "/")
+					resource.Name = strings.Trim(resource.Name+"/"+a.Value, "/")
 				}
 			}
-			if seen[p] {
-				return child.pos.Errorf("%s %q stands twice", child.name, p.Name)
+			if seen[resource] {
+				return child.pos.Errorf("%s %q stands twice", child.name, resource.Name)
 			}
-			seen[p] = true
+			seen[resource] = true
 			var b bytes.Buffer
 			child.appendTo(&b, "")
-			p.Text = b.String()
-			resources = append(resources, p)
+			resource.Text = b.String()
+			resources = append(resources, resource)
 		}
 		return nil
 	}
@@ -334,8 +334,8 @@
 
 // SortResources sorts resources into the order of ResourcesText.
 func SortResources(resources []Resource) {
-	rank := func(p Resource) int {
-		if i := slices.Index(resourceOrder, p.Type); i >= 0 {
+	rank := func(r Resource) int {
+		if i := slices.Index(resourceOrder, r.Type); i >= 0 {
 			return i
 		}
 		return len(resourceOrder)
@@ -366,12 +366,12 @@
 // shown.
 func ResourcesText(resources []Resource) string {
 	var service, rest strings.Builder
-	for _, p := range resources {
+	for _, r := range resources {
 		to, indent := &rest, "  "
-		if strings.HasPrefix(p.Type, "service/") {
+		if strings.HasPrefix(r.Type, "service/") {
 			to, indent = &service, "    "
 		}
-		for line := range strings.Lines(p.Text) {
+		for line := range strings.Lines(r.Text) {
 			to.WriteString(indent + line)
 		}
 	}
--- a/internal/settings/experiment.go
+++ b/internal/settings/experiment.go
@@ -17,7 +17,7 @@
 	Name      string    `a:"name" need:"yes"`
 	Seeds     int       `a:"seeds" def:"5" min:"1" max:"10000"`
 	FirstSeed int64     `a:"first-seed" def:"1" min:"0" max:"9007199254740992"`
-	Days      []PlanDay `e:"day" need:"yes"`
+	Scenarios []PlanDay `e:"day" need:"yes"`
 	Policies  []Named   `e:"policy"`
 	Varied    []Vary    `e:"vary"`
 }
@@ -67,11 +67,11 @@
 	if err := readFile(file, "experiment", x); err != nil {
 		return nil, err
 	}
-	for i := range x.Days {
-		d := &x.Days[i]
-		d.File = filepath.Join(filepath.Dir(file), d.File)
-		if _, err := ReadScenario(d.File); err != nil {
-			return nil, d.Errorf("%v", err)
+	for i := range x.Scenarios {
+		scenario := &x.Scenarios[i]
+		scenario.File = filepath.Join(filepath.Dir(file), scenario.File)
+		if _, err := ReadScenario(scenario.File); err != nil {
+			return nil, scenario.Errorf("%v", err)
 		}
 	}
 	for _, v := range x.Varied {
@@ -80,8 +80,8 @@
 			return nil, err
 		}
 		for _, step := range steps {
-			for _, d := range x.Days {
-				if _, err := ReadScenarioWith(d.File, step); err != nil {
+			for _, scenario := range x.Scenarios {
+				if _, err := ReadScenarioWith(scenario.File, step); err != nil {
 					return nil, v.Errorf("%v: %v", step, err)
 				}
 			}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -156,23 +156,23 @@
 // Clients has the settings of a front end towards its clients.
 type Clients struct {
 	Pos
-	Socket         string      `a:"socket" need:"yes"`
-	Mode           string      `a:"mode" def:"0600" words:"0600 0660 0666"`
-	MaxConnections int         `a:"connections" def:"1000" min:"1" max:"1000000"`
-	ConnOpen       int         `a:"open" def:"1000" min:"1" max:"1000000"`
-	ValueBytes     int         `a:"value-bytes" def:"1048576" min:"256" max:"1073741824"`
-	AnswerBytes    int         `a:"answer-bytes" def:"1048576" min:"1024" max:"1073741824"`
-	WriteTimeout   router.Time `a:"write-time-out-ms" def:"30000" min:"10" max:"3600000"`
-	AnswerMargin   router.Time `a:"margin-ms" def:"10" min:"0" max:"10000"`
-	CancelWait     router.Time `a:"call-off-ms" def:"200" min:"1" max:"60000"`
-	HandOver       string      `a:"hand-over"`
-	TotalOpen      int         `a:"whole-open" def:"20000" min:"1" max:"10000000"`
-	TotalBytes     int64       `a:"whole-bytes" def:"268435456" min:"1024" max:"1099511627776"`
-	PeerOpen       int         `a:"peer-open" def:"0" min:"0" max:"10000000"`
-	PeerBytes      int64       `a:"peer-bytes" def:"0" min:"0" max:"1099511627776"`
-	ConnBytes      int64       `a:"open-bytes" def:"67108864" min:"0" max:"1099511627776"`
-	MaxHeld        int         `a:"held" def:"16" min:"0" max:"1000000"`
-	Allow          []Allow     `e:"allow"`
+	Socket          string      `a:"socket" need:"yes"`
+	Mode            string      `a:"mode" def:"0600" words:"0600 0660 0666"`
+	MaxConnections  int         `a:"connections" def:"1000" min:"1" max:"1000000"`
+	ConnOpen        int         `a:"open" def:"1000" min:"1" max:"1000000"`
+	ValueBytes      int         `a:"value-bytes" def:"1048576" min:"256" max:"1073741824"`
+	AnswerBytes     int         `a:"answer-bytes" def:"1048576" min:"1024" max:"1073741824"`
+	WriteTimeout    router.Time `a:"write-time-out-ms" def:"30000" min:"10" max:"3600000"`
+	AnswerMargin    router.Time `a:"margin-ms" def:"10" min:"0" max:"10000"`
+	CancelWait      router.Time `a:"call-off-ms" def:"200" min:"1" max:"60000"`
+	HandOver        string      `a:"hand-over"`
+	TotalOpen       int         `a:"whole-open" def:"20000" min:"1" max:"10000000"`
+	TotalBytes      int64       `a:"whole-bytes" def:"268435456" min:"1024" max:"1099511627776"`
+	PeerOpen        int         `a:"peer-open" def:"0" min:"0" max:"10000000"`
+	PeerBytes       int64       `a:"peer-bytes" def:"0" min:"0" max:"1099511627776"`
+	ConnBytes       int64       `a:"open-bytes" def:"67108864" min:"0" max:"1099511627776"`
+	MaxRouterQueued int         `a:"held" def:"16" min:"0" max:"1000000"`
+	Allow           []Allow     `e:"allow"`
 }
 
 // Allow permits clients by the user and group ids of their processes. Without any Allow, every process that can open
