--- a/deploy/sites/draw/draw.go
+++ b/deploy/sites/draw/draw.go
@@ -117,7 +117,7 @@
 }
 
 // classes draws two to four classes with very different gains. At least one must not be repeated without a token, the
-// last has few RPCs, and one may have a deadline that is shorter than a load.
+// last has the smallest share of the RPCs, and one may have a deadline that is shorter than a load.
 func (g generator) classes() []Class {
 	shares := [][]float64{{0.75, 0.25}, {0.65, 0.25, 0.1}, {0.6, 0.2, 0.14, 0.06}}[g.intBetween(0, 2)]
 	names := g.sample(methodNames, len(shares))
--- a/internal/configclient/client.go
+++ b/internal/configclient/client.go
@@ -289,7 +289,7 @@
 	}
 }
 
-// handleResponse builds the configuration that a response stands for and offers it to the state machine.
+// handleResponse builds the configuration that a response describes and offers it to the state machine.
 func (c *Client) handleResponse(resp *wire.FollowResponse) {
 	c.lastMessageAt = time.Now()
 	o := configupdate.Offer{VersionRef: configupdate.VersionRef{Version: configupdate.Version(resp.Version), Digest: resp.Digest},
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -37,7 +37,7 @@
 const (
 	reportBatchWindow   = 20 * time.Millisecond  // reports received within this window are proposed together
 	tickInterval        = 50 * time.Millisecond  // between ticks of a rollout
-	applyTimeout        = 5 * time.Second        // a proposal that is not committed by then has failed
+	applyTimeout        = 5 * time.Second        // bounds the wait until Raft starts a proposal
 	dialTimeout         = time.Second            // for a connection between instances
 	leaderCheckInterval = 100 * time.Millisecond // how often a stream checks that its instance is still the leader
 	retainedSnapshots   = 2                      // on disk
@@ -304,7 +304,7 @@
 }
 
 // isLeader reports whether this instance leads and is up to date. An instance that was just elected may not yet have
-// applied entries that earlier leaders acknowledged; until it has, it serves nobody.
+// applied entries that earlier leaders acknowledged; until it has, it rejects requests as if it did not lead.
 func (s *service) isLeader() bool {
 	return s.raft.State() == raft.Leader && s.raft.CurrentTerm() == s.readyTerm.Load()
 }
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -33,7 +33,7 @@
 // Settings are the parameters of rollouts.
 type Settings struct {
 	Stages          []float64 `json:"stages"`     // shares of the live followers, ascending, the last is 1
-	Hold            Millis    `json:"hold"`       // minimum duration of a stage once all its followers have accepted
+	Hold            Millis    `json:"hold"`       // minimum duration of a stage once all its followers have answered
 	AnswerTimeout   Millis    `json:"patience"`   // a live follower that exceeds it stops the rollout
 	LiveTimeout     Millis    `json:"live"`       // a follower that sends no report for this long counts as away
 	MaxRefusedShare float64   `json:"refused"`    // share of the chosen followers that may refuse a version
@@ -94,7 +94,7 @@
 	Pending         Version              `json:"next"` // waits for the end of the candidate's rollout; 0: none
 	Stage           int                  `json:"stage"`
 	StageSince      Millis               `json:"since"`    // when the stage started
-	StageCompleteAt Millis               `json:"complete"` // when all followers of the stage had accepted; 0: not yet
+	StageCompleteAt Millis               `json:"complete"` // when all followers of the stage had answered; 0: not yet
 	Entries         map[Version]*Entry   `json:"entries"`
 	Followers       map[string]*follower `json:"followers"`
 }
@@ -206,8 +206,8 @@
 	startRollout         // of the pending version
 	chooseAgain          // choose followers again: all of the chosen ones are away
 	withdraw             // stop the rollout, for a reason
-	stageComplete        // all followers of the stage have accepted
-	stageIncomplete      // no longer complete: a follower joined the stage
+	stageComplete        // all live followers of the stage have answered, and at least one has accepted
+	stageIncomplete      // no longer complete: a follower joined the stage or came back
 	nextStage            // begin the next stage
 	accept
 )
--- a/internal/settings/configuration.go
+++ b/internal/settings/configuration.go
@@ -24,7 +24,7 @@
 	Models    []Model       `e:"model"`
 }
 
-// Limits bound the open RPCs of clients, in number and bytes; see Clients.
+// Limits bound the open RPCs of clients, in number and bytes; see admission.Settings.
 type Limits struct {
 	Pos
 	ConnOpen        int   `a:"open" def:"1000" min:"1" max:"1000000"`
--- a/internal/settings/scenario.go
+++ b/internal/settings/scenario.go
@@ -21,7 +21,7 @@
 	Name     string      `a:"name" need:"yes"`
 	Length   router.Time `a:"length-ms" need:"yes" min:"100" max:"3600000"`
 	Seed     int64       `a:"seed" def:"1" min:"0" max:"9007199254740992"`
-	Slack    router.Time `a:"slack-ms" def:"50" min:"0" max:"10000"`
+	Slack    router.Time `a:"slack-ms" def:"50" min:"0" max:"10000"` // what scheduling and sockets may add to any time
 	Service  Service     `e:"service" need:"yes"`
 	Fleet    Fleet       `e:"fleet" need:"yes"`
 	Load     Load        `e:"load" need:"yes"`
@@ -75,7 +75,7 @@
 	Zipf      float64 `a:"zipf" def:"1.1" min:"1.001" max:"10"`
 
 	Process string      `a:"process" def:"poisson" words:"poisson steady bursty diurnal trace"`
-	Period  router.Time `a:"period-ms" def:"10000" min:"10" max:"86400000"` // of bursts, or of the day
+	Period  router.Time `a:"period-ms" def:"10000" min:"10" max:"86400000"` // of bursts, or of the diurnal cycle
 	Depth   float64     `a:"depth" def:"0.5" min:"0" max:"1"`               // amplitude of the rate, relative to its mean
 	Trace   string      `a:"trace"`                                         // file with lines MS METHOD FUNCTION [CUSTOMER]
 	Mix     []Mix       `e:"mix" need:"yes"`
@@ -139,9 +139,9 @@
 	Retries        int         `a:"retries" def:"2" min:"0" max:"20"`
 	TryShare       float64     `a:"try-share" def:"0.7" min:"0.05" max:"1"`
 	Backoff        router.Time `a:"back-off-ms" def:"50" min:"0" max:"60000"`
-	HeedShare      float64     `a:"heed" def:"0.8" min:"0" max:"1"`
-	ImpatientShare float64     `a:"impatient" def:"0" min:"0" max:"1"`
-	Notice         router.Time `a:"notice-ms" def:"1000" min:"0" max:"60000"`
+	HeedShare      float64     `a:"heed" def:"0.8" min:"0" max:"1"`           // of retries that wait as long as the answer asks
+	ImpatientShare float64     `a:"impatient" def:"0" min:"0" max:"1"`        // of RPCs whose client leaves before the answer
+	Notice         router.Time `a:"notice-ms" def:"1000" min:"0" max:"60000"` // until clients avoid a front end that is down
 }
 
 // Trouble is a fault that is injected at a given time.
--- a/internal/settings/strict.go
+++ b/internal/settings/strict.go
@@ -131,7 +131,7 @@
 			return e.pos.Errorf("attribute %q of %q stands twice", a.Name.Local, e.name)
 		}
 		if a.Name.Space == "xmlns" || a.Name.Space == "http://www.w3.org/2001/XMLSchema-instance" {
-			continue // tells editors where the schema is
+			continue // namespaces and the schema location, which editors use
 		}
 		attrs[a.Name.Local] = a.Value
 	}
