--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -37,7 +37,7 @@
 const (
 	reportBatchWindow   = 20 * time.Millisecond  // reports received within this window are proposed together
 	tickInterval        = 50 * time.Millisecond  // between ticks of a rollout
-	applyTimeout        = 5 * time.Second        // a proposal that is not committed by then has failed
+	applyTimeout        = 5 * time.Second        // bounds the wait until Raft starts a proposal
 	dialTimeout         = time.Second            // for a connection between instances
 	leaderCheckInterval = 100 * time.Millisecond // how often a stream checks that its instance is still the leader
 	retainedSnapshots   = 2                      // on disk
@@ -304,7 +304,7 @@
 }
 
 // isLeader reports whether this instance leads and is up to date. An instance that was just elected may not yet have
-// applied entries that earlier leaders acknowledged; until it has, it serves nobody.
+// applied entries that earlier leaders acknowledged; until it has, it rejects requests as if it did not lead.
 func (s *service) isLeader() bool {
 	return s.raft.State() == raft.Leader && s.raft.CurrentTerm() == s.readyTerm.Load()
 }
@@ -312,8 +312,8 @@
 // errNotLeader is the error for a request to an instance that does not lead; it names the leader.
 func (s *service) errNotLeader() error {
 	_, id := s.raft.LeaderWithID()
-	return status.Errorf(codes.FailedPrecondition, "instance %s is not the leader; %s", s.config.Name,
-		map[bool]string{true: "no instance is at the moment", false: "instance " + string(id) + " is"}[id == ""])
+	return status.Errorf(codes.FailedPrecondition, "instance %s does not lead; %s", s.config.Name,
+		map[bool]string{true: "nobody does just now", false: "instance " + string(id) + " does"}[id == ""])
 }
 
 // propose replicates a command to a majority and returns the result of applying it.
@@ -328,7 +328,7 @@
 	case errors.Is(err, raft.ErrNotLeader):
 		return applyResult{}, s.errNotLeader()
 	case err != nil: // it may have been committed
-		return applyResult{}, status.Errorf(codes.Unknown, "the version may have been numbered, check the status: %v", err)
+		return applyResult{}, status.Errorf(codes.Unknown, "it may have been numbered, look at the status: %v", err)
 	}
 	return future.Response().(applyResult), nil
 }
@@ -362,7 +362,7 @@
 }
 
 // runTicks proposes a tick whenever one is due for the rollout, and tracks whether this instance leads.
-func (s *service) runTicks(ctx context.Context, set rollout.Settings) {
+func (s *service) runTicks(ctx context.Context, rolloutSettings rollout.Settings) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	wasLeader := false
@@ -375,7 +375,7 @@
 		term := s.raft.CurrentTerm()
 		if s.raft.State() == raft.Leader && s.readyTerm.Load() != term {
 			// a new leader replicates its own settings; once they are committed, all earlier entries are applied
-			if _, err := s.propose(command{Settings: &set}); err == nil {
+			if _, err := s.propose(command{Settings: &rolloutSettings}); err == nil {
 				s.readyTerm.Store(term)
 			}
 		}
@@ -468,7 +468,7 @@
 			}
 			return err
 		case <-s.ctx.Done():
-			return status.Error(codes.Unavailable, "the instance is shutting down")
+			return status.Error(codes.Unavailable, "the instance stops")
 		}
 	}
 }
@@ -487,7 +487,7 @@
 // handleRequest handles a message of the follower. A nonce of any response but the last one is stale and ignored.
 func (fs *followerStream) handleRequest(r *wire.FollowRequest) error {
 	if r.Follower == "" || fs.lastReport.Name != "" && r.Follower != fs.lastReport.Name {
-		return status.Errorf(codes.InvalidArgument, "message of follower %q on the stream of follower %q", r.Follower, fs.lastReport.Name)
+		return status.Errorf(codes.InvalidArgument, "follower %q on the stream of %q", r.Follower, fs.lastReport.Name)
 	}
 	report := rollout.Report{Name: r.Follower, Version: rollout.Version(r.Version), Digest: r.Digest, Saved: r.Kept,
 		Refused: fs.lastReport.Refused, Reason: fs.lastReport.Reason}
@@ -543,8 +543,8 @@
 		}
 	}
 	fs.fullRequested = false
-	for _, p := range changed {
-		resp.Resources = append(resp.Resources, &wire.Resource{Id: &wire.ResourceName{Type: p.Type, Name: p.Name}, Text: p.Text})
+	for _, r := range changed {
+		resp.Resources = append(resp.Resources, &wire.Resource{Id: &wire.ResourceName{Type: r.Type, Name: r.Name}, Text: r.Text})
 	}
 	return resp
 }
@@ -592,7 +592,7 @@
 	}
 	e := s.fsm.state.Entries[v]
 	if e == nil || e.Text == "" {
-		return nil, status.Errorf(codes.NotFound, "no version %d, or its text is no longer stored", v)
+		return nil, status.Errorf(codes.NotFound, "no version %d, or its text is kept no more", v)
 	}
 	return &wire.GetResponse{Version: uint64(v), Digest: e.Digest, Text: e.Text}, nil
 }
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -33,7 +33,7 @@
 // Settings are the parameters of rollouts.
 type Settings struct {
 	Stages          []float64 `json:"stages"`     // shares of the live followers, ascending, the last is 1
-	Hold            Millis    `json:"hold"`       // minimum duration of a stage once all its followers have accepted
+	Hold            Millis    `json:"hold"`       // minimum duration of a stage once all its followers have answered
 	AnswerTimeout   Millis    `json:"patience"`   // a live follower that exceeds it stops the rollout
 	LiveTimeout     Millis    `json:"live"`       // a follower that sends no report for this long counts as away
 	MaxRefusedShare float64   `json:"refused"`    // share of the chosen followers that may refuse a version
@@ -94,7 +94,7 @@
 	Pending         Version              `json:"next"` // waits for the end of the candidate's rollout; 0: none
 	Stage           int                  `json:"stage"`
 	StageSince      Millis               `json:"since"`    // when the stage started
-	StageCompleteAt Millis               `json:"complete"` // when all followers of the stage had accepted; 0: not yet
+	StageCompleteAt Millis               `json:"complete"` // when all followers of the stage had answered; 0: not yet
 	Entries         map[Version]*Entry   `json:"entries"`
 	Followers       map[string]*follower `json:"followers"`
 }
@@ -110,14 +110,14 @@
 const maxTexts = 100
 
 // New returns a state without versions and followers.
-func New(set Settings) *State {
-	return &State{Settings: set, Entries: map[Version]*Entry{}, Followers: map[string]*follower{}}
+func New(settings Settings) *State {
+	return &State{Settings: settings, Entries: map[Version]*Entry{}, Followers: map[string]*follower{}}
 }
 
 // Submit adds a version and returns its number. Base, unless 0, must be the newest version.
 func (s *State) Submit(now Millis, text, digest, by, note string, base Version) (Version, error) {
 	if base != 0 && base != s.Newest {
-		return 0, fmt.Errorf("the newest version is %d, not %d: check what changed and submit again", s.Newest, base)
+		return 0, fmt.Errorf("the newest version is %d, not %d: look at what changed and submit again", s.Newest, base)
 	}
 	return s.addVersion(now, &Entry{Text: text, Digest: digest, By: by, Note: note}), nil
 }
@@ -165,7 +165,7 @@
 	case e.State != Past && e.State != Accepted:
 		return 0, fmt.Errorf("version %d was never accepted: it is %s", to, e.State)
 	case e.Text == "":
-		return 0, fmt.Errorf("version %d is too old: its text is no longer stored", to)
+		return 0, fmt.Errorf("version %d is too old: its text is kept no more", to)
 	}
 	s.supersedePending("rolled back")
 	if s.Candidate != 0 {
@@ -206,8 +206,8 @@
 	startRollout         // of the pending version
 	chooseAgain          // choose followers again: all of the chosen ones are away
 	withdraw             // stop the rollout, for a reason
-	stageComplete        // all followers of the stage have accepted
-	stageIncomplete      // no longer complete: a follower joined the stage
+	stageComplete        // all live followers of the stage have answered, and at least one has accepted
+	stageIncomplete      // no longer complete: a follower joined the stage or came back
 	nextStage            // begin the next stage
 	accept
 )
