--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -101,12 +101,12 @@
 
 // checkAnswers checks rule one: every RPC that a running front end received gets exactly one final answer, in time.
 func (a *auditor) checkAnswers() {
-	type rpc struct {
+	type rpcState struct {
 		sent    record.Record
 		answers int
 		closed  bool // its client left, or the connection was lost
 	}
-	rpcs := map[string]*rpc{}
+	rpcs := map[string]*rpcState{}
 	received := map[string]bool{}
 	var marks []string
 	for _, r := range a.records {
@@ -115,49 +115,49 @@
 		}
 	}
 	for _, r := range a.records {
-		p := rpcs[r.RPC]
+		state := rpcs[r.RPC]
 		switch r.Kind {
 		case record.RPCSent:
 			a.result.RPCs++
-			rpcs[r.RPC] = &rpc{sent: r}
+			rpcs[r.RPC] = &rpcState{sent: r}
 			marks = append(marks, r.RPC)
 		case record.RPCAnswered:
 			a.result.Answers++
-			if p == nil {
+			if state == nil {
 				a.violation(1, r.RPC, r.UnixNS, "an answer to what was not sent")
 				continue
 			}
-			if p.answers++; p.answers > 1 {
-				a.violation(1, r.RPC, r.UnixNS, "answer %d of one RPC: %s", p.answers, r.Outcome)
+			if state.answers++; state.answers > 1 {
+				a.violation(1, r.RPC, r.UnixNS, "answer %d of one RPC: %s", state.answers, r.Outcome)
 			}
-			due := p.sent.UnixNS + int64(p.sent.DurationMS*float64(nsPerMS)) + a.slack() +
-				a.pausedBetween(p.sent.FrontEnd, p.sent.UnixNS, r.UnixNS)
+			due := state.sent.UnixNS + int64(state.sent.DurationMS*float64(nsPerMS)) + a.slack() +
+				a.pausedBetween(state.sent.FrontEnd, state.sent.UnixNS, r.UnixNS)
 			if r.UnixNS > due {
-				a.violation(1, r.RPC, r.UnixNS, "%s from %s %.0f ms after its client's time was up", r.Outcome, p.sent.FrontEnd,
+				a.violation(1, r.RPC, r.UnixNS, "%s from %s %.0f ms after its client's time was up", r.Outcome, state.sent.FrontEnd,
 					float64(r.UnixNS-due+a.slack())/float64(nsPerMS))
 			}
 		case record.ClientLeft:
-			if p != nil {
-				p.closed = true
+			if state != nil {
+				state.closed = true
 			}
 		case record.ConnectionLost:
-			if p == nil {
+			if state == nil {
 				continue
 			}
-			p.closed = true
+			state.closed = true
 			// a front end that was killed need not answer what it had received, and one that exited may not have
 			// received what was sent at that time
 			ended := slices.ContainsFunc(a.ends[r.FrontEnd], func(t int64) bool {
-				return t >= p.sent.UnixNS-a.slack() && t <= r.UnixNS+a.slack()
+				return t >= state.sent.UnixNS-a.slack() && t <= r.UnixNS+a.slack()
 			})
-			if !ended && (received[r.RPC] || r.UnixNS > p.sent.UnixNS+a.slack()) {
+			if !ended && (received[r.RPC] || r.UnixNS > state.sent.UnixNS+a.slack()) {
 				a.violation(1, r.RPC, r.UnixNS, "%s lived and closed the connection without an answer", r.FrontEnd)
 			}
 		}
 	}
 	for _, mark := range marks {
-		if p := rpcs[mark]; p.answers == 0 && !p.closed {
-			a.violation(1, mark, p.sent.UnixNS, "%s never answered", p.sent.FrontEnd)
+		if state := rpcs[mark]; state.answers == 0 && !state.closed {
+			a.violation(1, mark, state.sent.UnixNS, "%s never answered", state.sent.FrontEnd)
 		}
 	}
 }
--- a/internal/clients/conn.go
+++ b/internal/clients/conn.go
@@ -29,7 +29,8 @@
 // closedPollInterval is how often a half-closed connection is checked for being closed on both sides.
 const closedPollInterval = 20 * time.Millisecond
 
-// conn is a client's connection. One goroutine reads, one writes; its RPCs are handled on the event loop's goroutine.
+// conn is a client's connection. One goroutine reads from it and one writes to it; its RPCs are handled on the event
+// loop's goroutine.
 type conn struct {
 	server      *Server
 	nc          net.Conn
@@ -38,7 +39,7 @@
 	useHeaders  atomic.Bool
 	permissions access.Permissions
 	peer        admission.PeerID
-	submitSlots chan struct{} // limits the RPCs posted to the event loop and not yet received by it
+	submitSlots chan struct{} // limits the RPCs posted to the event loop that it has not begun to handle
 	batch       *batch        // the batch being read; nil: none
 
 	mu      sync.Mutex
@@ -50,7 +51,7 @@
 	// used on the event loop's goroutine only
 	dispatchConn *dispatch.Conn
 	byID         map[string]*pending
-	dirty        bool // it is in server.dirtyConns
+	dirty        bool // the connection is in server.dirtyConns
 }
 
 // pending is a message of the connection that awaits an answer: an RPC, another request or an element of a batch. It
--- a/internal/clients/server.go
+++ b/internal/clients/server.go
@@ -51,7 +51,7 @@
 	Log           zerolog.Logger
 }
 
-// Server accepts clients' connections. Its last field is used on the event loop's goroutine only.
+// Server accepts clients' connections.
 type Server struct {
 	opts           Options
 	loop           *eventloop.Loop
@@ -61,6 +61,7 @@
 	acceptDone     chan struct{}  // closed when the main listener accepts no more connections
 	extraListeners sync.WaitGroup // counts added listeners that still accept connections
 
+	// used on the event loop's goroutine only
 	dirtyConns []*conn // connections with answers queued in this turn of the event loop
 }
 
@@ -195,8 +196,8 @@
 }
 
 // CloseRead makes clients' further writes fail. What they sent before is still read, so no successful write is lost.
-// A connection ends when everything on it is answered. CloseRead waits until the listeners, which must be closed
-// already, accept no more connections.
+// A connection ends when everything on it is answered. The listeners must be closed before the call; CloseRead first
+// waits until none of them accepts connections any more.
 func (s *Server) CloseRead() {
 	<-s.acceptDone
 	s.extraListeners.Wait()
--- a/internal/frames/frames.go
+++ b/internal/frames/frames.go
@@ -15,7 +15,7 @@
 // CodecName is the name of this codec when front end and worker agree on one.
 const CodecName = "cbor"
 
-// message is the CBOR array of a frame; it is not used outside this package.
+// message is the CBOR array of a frame.
 type message struct {
 	_       struct{} `cbor:",toarray"`
 	ID      []byte
--- a/internal/frames/frames_test.go
+++ b/internal/frames/frames_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// recorder is a Handler that keeps the last message as text.
+// recorder is a Handler that records the last message as text.
 type recorder struct{ call string }
 
 func (r *recorder) HandleRequestBlob(id []byte, method string, params, blob []byte) {
@@ -45,8 +45,8 @@
 	}
 }
 
-// FuzzRead checks that Read passes a message on or returns an error for any input, and returns io.EOF only at the end of
-// the stream.
+// FuzzRead checks that Read passes a message on or returns an error for any input, and returns io.EOF only at the end
+// of the stream.
 func FuzzRead(f *testing.F) {
 	f.Add(AppendRequest(nil, []byte("7"), "m", []byte("{}"), []byte{1}))
 	f.Fuzz(func(t *testing.T, in []byte) {
--- a/internal/gateway/configured.go
+++ b/internal/gateway/configured.go
@@ -276,12 +276,12 @@
 func (ch *configChange) Apply() error {
 	c, frontEnd := ch.live, ch.frontEnd
 	routerSettings, methods, customers := frontEnd.RouterSettings(), frontEnd.Service.EngineMethods(), frontEnd.Service.CustomerNames()
-	function, watcherOptions := frontEnd.Service.FunctionSpecs(), c.watcherOptions(frontEnd, ch.config)
+	functionSpec, watcherOptions := frontEnd.Service.FunctionSpecs(), c.watcherOptions(frontEnd, ch.config)
 	var models []kserve.Model
 	if c.kserve != nil {
 		models = modelsOf(frontEnd)
 	}
-	parsed, service := router.ParseSettings(routerSettings), dispatch.NewService(methods, customers, function)
+	parsed, service := router.ParseSettings(routerSettings), dispatch.NewService(methods, customers, functionSpec)
 	done := make(chan struct{})
 	if !c.loop.Post(func() {
 		began := time.Now()
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -36,8 +36,8 @@
 // drainPollInterval is how often a stopping front end checks whether every RPC is answered.
 const drainPollInterval = 5 * time.Millisecond
 
-// loopHandler handles the turns of the event loop: it is the engine, and at the end of a turn also admits queued RPCs
-// and sends what the turn produced to workers and clients.
+// loopHandler handles the turns of the event loop. It passes them to the engine, and at the end of a turn also admits
+// queued RPCs and sends what the turn produced to workers and clients.
 type loopHandler struct {
 	*engine.Engine
 	links      *workerlink.Set
@@ -84,51 +84,51 @@
 
 // Serve runs a front end until the context ends. It then accepts no more RPCs, answers the open ones and returns,
 // within the time that the settings allow for a stop. ready is called when RPCs are accepted.
-func Serve(ctx context.Context, f *settings.FrontEnd, log zerolog.Logger, ready func()) error {
-	return ServeWithHooks(ctx, f, log, ready, OutputHooks{})
+func Serve(ctx context.Context, frontEnd *settings.FrontEnd, log zerolog.Logger, ready func()) error {
+	return ServeWithHooks(ctx, frontEnd, log, ready, OutputHooks{})
 }
 
 // ServeWithHooks is Serve with hooks that change the output.
-func ServeWithHooks(ctx context.Context, f *settings.FrontEnd, log zerolog.Logger, ready func(), hooks OutputHooks) error {
-	log = log.With().Str("front_end", f.Name).Logger()
-	mode, err := strconv.ParseUint(f.Clients.Mode, 8, 32)
+func ServeWithHooks(ctx context.Context, frontEnd *settings.FrontEnd, log zerolog.Logger, ready func(), hooks OutputHooks) error {
+	log = log.With().Str("front_end", frontEnd.Name).Logger()
+	mode, err := strconv.ParseUint(frontEnd.Clients.Mode, 8, 32)
 	if err != nil {
-		return f.Clients.Errorf("mode: %v", err)
+		return frontEnd.Clients.Errorf("mode: %v", err)
 	}
-	listener, extra, confirm, err := listen(f, os.FileMode(mode), log)
+	listener, extra, confirm, err := listen(frontEnd, os.FileMode(mode), log)
 	if err != nil {
 		return err
 	}
-	return serve(ctx, f, log, listener, extra, confirm, ready, hooks)
+	return serve(ctx, frontEnd, log, listener, extra, confirm, ready, hooks)
 }
 
 // listen returns the client socket, opened by a service manager, handed over by a predecessor, or new. In a
 // hand-over, extra are the predecessor's other listeners, and confirm notifies it that this process serves; otherwise
 // both are nil.
-func listen(f *settings.FrontEnd, mode os.FileMode, log zerolog.Logger) (l *net.UnixListener, extra []handover.Listener,
+func listen(frontEnd *settings.FrontEnd, mode os.FileMode, log zerolog.Logger) (l *net.UnixListener, extra []handover.Listener,
 	confirm func() error, err error) {
 	if l, err = handover.Inherited(); err != nil || l != nil {
 		return l, nil, nil, err
 	}
-	if f.Clients.HandOver != "" {
+	if frontEnd.Clients.HandOver != "" {
 		var listeners []handover.Listener
-		listeners, confirm, err = handover.Request(f.Clients.HandOver)
+		listeners, confirm, err = handover.Request(frontEnd.Clients.HandOver)
 		if err == nil {
 			unixListener, ok := listeners[0].(*net.UnixListener)
-			if want := 1 + len(kserveSockets(f)); !ok || len(listeners) != want {
+			if want := 1 + len(kserveSockets(frontEnd)); !ok || len(listeners) != want {
 				for _, l := range listeners {
 					l.Close()
 				}
 				return nil, nil, nil, fmt.Errorf("hand-over: the predecessor serves %d sockets, but these settings need %d", len(listeners), want)
 			}
-			log.Info().Str("from", f.Clients.HandOver).Int("sockets", len(listeners)).Msg("client sockets taken over")
+			log.Info().Str("from", frontEnd.Clients.HandOver).Int("sockets", len(listeners)).Msg("client sockets taken over")
 			return unixListener, listeners[1:], confirm, nil
 		}
 		if !errors.Is(err, os.ErrNotExist) && !errors.Is(err, syscall.ECONNREFUSED) {
 			return nil, nil, nil, fmt.Errorf("hand-over: %w", err)
 		}
 	}
-	created, err := clients.Listen(f.Clients.Socket, mode)
+	created, err := clients.Listen(frontEnd.Clients.Socket, mode)
 	if err != nil {
 		return nil, nil, nil, err
 	}
@@ -140,9 +140,9 @@
 	extra []handover.Listener, confirm func() error, ready func(), hooks OutputHooks) error {
 	loop := eventloop.NewLoop()
 	live := newLiveConfig(initial, loop, log)
-	f := live.current.Load()
-	eng := engine.New(engine.Options{Settings: f.RouterSettings(), Seed: f.Seed, Now: loop.Now(), AnswerMargin: f.Clients.AnswerMargin,
-		CancelWait: f.Clients.CancelWait,
+	frontEnd := live.current.Load()
+	eng := engine.New(engine.Options{Settings: frontEnd.RouterSettings(), Seed: frontEnd.Seed, Now: loop.Now(), AnswerMargin: frontEnd.Clients.AnswerMargin,
+		CancelWait: frontEnd.Clients.CancelWait,
 		Log:        func(text string) { log.Info().Str("from", "module").Msg(text) }})
 
 	// shutdown order: the clients' side once every RPC is answered, then the other goroutines, the event loop last
@@ -153,18 +153,18 @@
 	loopCtx, cancelLoop := context.WithCancel(context.Background())
 	defer cancelLoop()
 
-	linkSet := workerlink.New(backgroundCtx, loop, eng, workerlink.Options{FrontEnd: f.Name,
-		ConnectTimeout: eventloop.ToDuration(f.Service.CallOuts.ConnectTimeout), ValueBytes: f.Workers.ValueBytes,
-		QueuedBytes: f.Workers.SendBytes, RedialMin: eventloop.ToDuration(f.Workers.RedialMin),
-		RedialMax: eventloop.ToDuration(f.Workers.RedialMax), WrapLink: hooks.Link, Log: log})
-	watcher := rosterwatch.New(loop, eng, linkSet, live.watcherOptions(f, live.savedConfig))
-	dispatcher := dispatch.New(eng, dispatch.Options{Methods: f.Service.EngineMethods(), Customers: f.Service.CustomerNames(),
-		FunctionSpec: f.Service.FunctionSpecs(), AnswerMargin: f.Clients.AnswerMargin, Limits: f.LimitSettings(), WrapClient: hooks.Client})
+	linkSet := workerlink.New(backgroundCtx, loop, eng, workerlink.Options{FrontEnd: frontEnd.Name,
+		ConnectTimeout: eventloop.ToDuration(frontEnd.Service.CallOuts.ConnectTimeout), ValueBytes: frontEnd.Workers.ValueBytes,
+		QueuedBytes: frontEnd.Workers.SendBytes, RedialMin: eventloop.ToDuration(frontEnd.Workers.RedialMin),
+		RedialMax: eventloop.ToDuration(frontEnd.Workers.RedialMax), WrapLink: hooks.Link, Log: log})
+	watcher := rosterwatch.New(loop, eng, linkSet, live.watcherOptions(frontEnd, live.savedConfig))
+	dispatcher := dispatch.New(eng, dispatch.Options{Methods: frontEnd.Service.EngineMethods(), Customers: frontEnd.Service.CustomerNames(),
+		FunctionSpec: frontEnd.Service.FunctionSpecs(), AnswerMargin: frontEnd.Clients.AnswerMargin, Limits: frontEnd.LimitSettings(), WrapClient: hooks.Client})
 	server := clients.New(loop, dispatcher, clients.Options{
-		Limits: clients.Limits{Connections: f.Clients.MaxConnections, OpenRPCs: f.Clients.ConnOpen,
-			ValueBytes: f.Clients.ValueBytes, AnswerBytes: f.Clients.AnswerBytes,
-			WriteTimeout: eventloop.ToDuration(f.Clients.WriteTimeout)},
-		RewriteAnswer: hooks.Answer, Allow: accessRules(f), Status: func() []byte { return status(f, eng, dispatcher, live) }, Log: log})
+		Limits: clients.Limits{Connections: frontEnd.Clients.MaxConnections, OpenRPCs: frontEnd.Clients.ConnOpen,
+			ValueBytes: frontEnd.Clients.ValueBytes, AnswerBytes: frontEnd.Clients.AnswerBytes,
+			WriteTimeout: eventloop.ToDuration(frontEnd.Clients.WriteTimeout)},
+		RewriteAnswer: hooks.Answer, Allow: accessRules(frontEnd), Status: func() []byte { return status(frontEnd, eng, dispatcher, live) }, Log: log})
 
 	var loopGroup, backgroundGroup, clientsGroup errgroup.Group
 	loopGroup.Go(func() error { loop.Run(loopCtx, &loopHandler{eng, linkSet, dispatcher, server}); return nil })
@@ -178,19 +178,19 @@
 		}
 		return err
 	})
-	kserveServer, extra, err := serveKServe(backgroundCtx, extra, f, &backgroundGroup, &clientsGroup, loop, dispatcher, eng, watcher, failures, log)
+	kserveServer, extra, err := serveKServe(backgroundCtx, extra, frontEnd, &backgroundGroup, &clientsGroup, loop, dispatcher, eng, watcher, failures, log)
 	if err != nil {
 		failures <- err
 	}
 	live.start(backgroundCtx, clientsCtx, &backgroundGroup, &clientsGroup, eng, dispatcher, watcher, server, kserveServer)
-	log.Info().Str("socket", f.Clients.Socket).Int("number", f.Number).Int("of", f.FrontEnds).Msg("front end takes RPCs")
+	log.Info().Str("socket", frontEnd.Clients.Socket).Int("number", frontEnd.Number).Int("of", frontEnd.FrontEnds).Msg("front end takes RPCs")
 	if ready != nil {
 		ready()
 	}
 
 	var handedOver <-chan struct{}
 	if err == nil {
-		handedOver, err = handOver(backgroundCtx, &backgroundGroup, f, listener, extra, confirm, watcher.ListReceived())
+		handedOver, err = handOver(backgroundCtx, &backgroundGroup, frontEnd, listener, extra, confirm, watcher.ListReceived())
 	}
 	if err == nil {
 		select {
@@ -262,27 +262,27 @@
 
 // serveKServe starts the KServe server, if the settings have one, on the listeners taken over or on new ones. It
 // returns the server and its listeners.
-func serveKServe(ctx context.Context, takenOver []handover.Listener, f *settings.FrontEnd, backgroundGroup, clientsGroup *errgroup.Group, loop *eventloop.Loop,
+func serveKServe(ctx context.Context, takenOver []handover.Listener, frontEnd *settings.FrontEnd, backgroundGroup, clientsGroup *errgroup.Group, loop *eventloop.Loop,
 	dispatcher *dispatch.Dispatcher, eng *engine.Engine, watcher *rosterwatch.Watcher, failures chan<- error, log zerolog.Logger) (*kserve.Server,
 	[]handover.Listener, error) {
-	k := f.KServe
-	if k == nil {
+	kserveSettings := frontEnd.KServe
+	if kserveSettings == nil {
 		return nil, nil, nil
 	}
-	opts := kserve.Options{Name: f.Name, MaxBodyBytes: k.BodyBytes, TimeHeader: k.TimeHeader,
-		CustomerHeader: k.CustomerHeader, TokenHeader: k.TokenHeader, Ready: watcher.Ready, LoadsHalted: eng.LoadsHalted, Log: log}
-	opts.Models = modelsOf(f)
-	if k.TLS != nil {
-		store, err := certs.Open(certs.Files{Cert: k.TLS.Cert, Key: k.TLS.Key, ClientCA: k.TLS.ClientCA}, log)
+	opts := kserve.Options{Name: frontEnd.Name, MaxBodyBytes: kserveSettings.BodyBytes, TimeHeader: kserveSettings.TimeHeader,
+		CustomerHeader: kserveSettings.CustomerHeader, TokenHeader: kserveSettings.TokenHeader, Ready: watcher.Ready, LoadsHalted: eng.LoadsHalted, Log: log}
+	opts.Models = modelsOf(frontEnd)
+	if kserveSettings.TLS != nil {
+		store, err := certs.Open(certs.Files{Cert: kserveSettings.TLS.Cert, Key: kserveSettings.TLS.Key, ClientCA: kserveSettings.TLS.ClientCA}, log)
 		if err != nil {
-			return nil, nil, k.TLS.Errorf("%v", err)
+			return nil, nil, kserveSettings.TLS.Errorf("%v", err)
 		}
 		backgroundGroup.Go(func() error {
-			store.Watch(ctx, eventloop.ToDuration(k.TLS.ReloadInterval), time.Duration(k.TLS.WarnDays*24*float64(time.Hour)))
+			store.Watch(ctx, eventloop.ToDuration(kserveSettings.TLS.ReloadInterval), time.Duration(kserveSettings.TLS.WarnDays*24*float64(time.Hour)))
 			return nil
 		})
 		opts.Certs = store
-		for _, c := range k.TLS.Clients {
+		for _, c := range kserveSettings.TLS.Clients {
 			opts.Clients = append(opts.Clients, certs.Client{Name: c.Name, Customer: c.Customer, Methods: strings.Fields(c.Methods)})
 		}
 	}
@@ -291,10 +291,10 @@
 	if opts.Certs != nil {
 		http, grpc = server.ServeTLS, server.ServeGRPCTLS
 	}
-	serves := map[string]func(net.Listener) error{"http unix": server.Serve, "http tcp": http, "grpc unix": server.ServeGRPC,
+	serveFuncs := map[string]func(net.Listener) error{"http unix": server.Serve, "http tcp": http, "grpc unix": server.ServeGRPC,
 		"grpc tcp": grpc}
 	listeners := takenOver
-	for i, sock := range kserveSockets(f) {
+	for i, sock := range kserveSockets(frontEnd) {
 		if len(takenOver) == 0 {
 			var l net.Listener
 			var err error
@@ -308,7 +308,7 @@
 			}
 			listeners = append(listeners, l.(handover.Listener))
 		}
-		l, serve := listeners[i], serves[sock.protocol+" "+sock.network]
+		l, serve := listeners[i], serveFuncs[sock.protocol+" "+sock.network]
 		log.Info().Str("address", l.Addr().String()).Msg("front end serves KServe inference requests")
 		clientsGroup.Go(func() error {
 			err := serve(l)
@@ -325,11 +325,11 @@
 }
 
 // modelsOf returns the models of a front end. They refer to its methods by index.
-func modelsOf(f *settings.FrontEnd) (out []kserve.Model) {
-	for i := range f.KServe.Models {
-		m := &f.KServe.Models[i]
+func modelsOf(frontEnd *settings.FrontEnd) (out []kserve.Model) {
+	for i := range frontEnd.KServe.Models {
+		m := &frontEnd.KServe.Models[i]
 		out = append(out, kserve.Model{Name: m.Name, Version: m.Version, Platform: m.Platform,
-			Method: f.KServe.MethodIndex(&f.Service, m), Function: m.FunctionName(), Inputs: tensorMetas(m.Inputs), Outputs: tensorMetas(m.Outputs)})
+			Method: frontEnd.KServe.MethodIndex(&frontEnd.Service, m), Function: m.FunctionName(), Inputs: tensorMetas(m.Inputs), Outputs: tensorMetas(m.Outputs)})
 	}
 	return out
 }
@@ -338,12 +338,12 @@
 type kserveSocket struct{ protocol, network, address string }
 
 // kserveSockets returns the sockets of the KServe server, in the order in which they are handed over.
-func kserveSockets(f *settings.FrontEnd) (out []kserveSocket) {
-	if f.KServe == nil {
+func kserveSockets(frontEnd *settings.FrontEnd) (out []kserveSocket) {
+	if frontEnd.KServe == nil {
 		return nil
 	}
-	for _, socket := range []kserveSocket{{"http", "unix", f.KServe.Socket}, {"http", "tcp", f.KServe.Address},
-		{"grpc", "unix", f.KServe.GRPCSocket}, {"grpc", "tcp", f.KServe.GRPCAddress}} {
+	for _, socket := range []kserveSocket{{"http", "unix", frontEnd.KServe.Socket}, {"http", "tcp", frontEnd.KServe.Address},
+		{"grpc", "unix", frontEnd.KServe.GRPCSocket}, {"grpc", "tcp", frontEnd.KServe.GRPCAddress}} {
 		if socket.address != "" {
 			out = append(out, socket)
 		}
@@ -361,7 +361,7 @@
 
 // handOver confirms the hand-over to a predecessor, if there is one, and offers the listeners to a successor. The
 // returned channel is closed when a successor has taken them.
-func handOver(ctx context.Context, group *errgroup.Group, f *settings.FrontEnd, listener *net.UnixListener,
+func handOver(ctx context.Context, group *errgroup.Group, frontEnd *settings.FrontEnd, listener *net.UnixListener,
 	extra []handover.Listener, confirm func() error, listReceived <-chan struct{}) (<-chan struct{}, error) {
 	handedOver := make(chan struct{})
 	if confirm != nil {
@@ -378,10 +378,10 @@
 			}
 		}
 	}
-	if f.Clients.HandOver == "" {
+	if frontEnd.Clients.HandOver == "" {
 		return handedOver, nil
 	}
-	l, err := clients.Listen(f.Clients.HandOver, 0o600)
+	l, err := clients.Listen(frontEnd.Clients.HandOver, 0o600)
 	if err != nil {
 		return handedOver, err
 	}
@@ -402,8 +402,8 @@
 	return handedOver, nil
 }
 
-func accessRules(f *settings.FrontEnd) (rules access.Rules) {
-	for _, a := range f.Clients.Allow {
+func accessRules(frontEnd *settings.FrontEnd) (rules access.Rules) {
+	for _, a := range frontEnd.Clients.Allow {
 		rules = append(rules, access.Rule{UID: a.UID, GID: a.GID, Methods: strings.Fields(a.Methods),
 			Customers: strings.Fields(a.Customers)})
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -37,7 +37,7 @@
 //	list W=STATE ...          the roster sends a full list and waits for the acknowledgment; list-again: sends it twice
 //	changes W=STATE ...       the roster sends changes and waits for the acknowledgment
 //	start                     starts the front end and waits until it accepts RPCs
-//	stop | left               tells the front end to stop; waits until it has stopped
+//	stop | left               stop: begins to stop the front end; left: waits until it has stopped
 //	C dials [deaf|SOCKET]     a client connects; deaf: it reads nothing until 'C reads'
 //	C >* N TEXT | C <* N      C sends TEXT N times in the background; C receives N lines
 //	C cut                     C receives the end of the stream, whatever comes before
@@ -271,19 +271,19 @@
 	head, body, _ := strings.Cut(line, "<")
 	service, more, _ := strings.Cut("<"+strings.ReplaceAll(body, "$DIR", k.dir), "|")
 	service += `<functions orders="no"/>`
-	w, err := control.Dial([]string{k.path("control")})
+	client, err := control.Dial([]string{k.path("control")})
 	if err != nil {
 		return err
 	}
-	defer w.Close()
+	defer client.Close()
 	ctx, end := context.WithTimeout(context.Background(), 2*stepTimeout)
 	defer end()
-	version, err := w.Submit(ctx, &wire.SubmitRequest{Text: "<configuration><service>" + service + "</service>" + more + "</configuration>", Unchecked: true})
+	version, err := client.Submit(ctx, &wire.SubmitRequest{Text: "<configuration><service>" + service + "</service>" + more + "</configuration>", Unchecked: true})
 	if err != nil {
 		return err
 	}
 	for ; ; time.Sleep(5 * time.Millisecond) {
-		_, status, err := w.Leader(ctx)
+		_, status, err := client.Leader(ctx)
 		if err != nil {
 			return err
 		}
@@ -393,9 +393,9 @@
 	if k.attrs["functions.orders"] == "" {
 		k.attrs["functions.orders"] = "no"
 	}
-	at := ""
+	controlElement := ""
 	if k.attrs["control.keep"] != "" {
-		at = fmt.Sprintf(`<control sockets=%q keep=%q redial-min-ms="10" redial-max-ms="50" figures-every-ms="50"/>`, k.path("control"),
+		controlElement = fmt.Sprintf(`<control sockets=%q keep=%q redial-min-ms="10" redial-max-ms="50" figures-every-ms="50"/>`, k.path("control"),
 			filepath.Join(k.dir, k.attrs["control.keep"]))
 	}
 	text := fmt.Sprintf(`<front-end name="front"><clients socket=%q%s>%s</clients><workers redial-max-ms="100"/>
@@ -404,7 +404,7 @@
 <method name="book" effect="tokened" group="all" window-ms="2000" deadline-ms="1000"/>
 <method name="hold" effect="side-effecting" deadline-ms="1000"/>
 <functions%s/></service></front-end>`, k.path("front"), k.attributes(""), k.allowElement(), k.path("roster"),
-		filepath.Join(k.dir, "list"), at, k.attributes("methods"), k.attributes("functions"))
+		filepath.Join(k.dir, "list"), controlElement, k.attributes("methods"), k.attributes("functions"))
 	file := filepath.Join(k.dir, "front.xml")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return err
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -31,20 +31,20 @@
 	syscall.Conn
 }
 
-// Offer passes the listeners, in their order, to a successor that connects to control. It returns true when a successor
-// has taken them, false when the context ends. stop must end this process's accepting; it is called when the successor
-// serves and before that one is notified. Offer closes control.
-func Offer(ctx context.Context, control net.Listener, listeners []Listener, stop func()) bool {
-	stopClose := context.AfterFunc(ctx, func() { control.Close() })
+// Offer passes the listeners, in their order, to a successor that connects to handoverListener. It returns true when a
+// successor has taken them, false when the context ends. stop must make this process accept no more connections. It is
+// called once the successor serves, and the successor is notified after it. Offer closes handoverListener.
+func Offer(ctx context.Context, handoverListener net.Listener, listeners []Listener, stop func()) bool {
+	stopClose := context.AfterFunc(ctx, func() { handoverListener.Close() })
 	defer stopClose()
-	defer control.Close()
+	defer handoverListener.Close()
 	for {
-		nc, err := control.Accept()
+		nc, err := handoverListener.Accept()
 		if err != nil {
 			return false
 		}
 		if sendListeners(ctx, nc.(*net.UnixConn), listeners) == nil {
-			control.Close() // the successor now owns the path
+			handoverListener.Close() // the successor now owns the path
 			stop()
 			_, _ = nc.Write([]byte{msgTaken})
 			nc.Close()
--- a/internal/jsonrpc/conn.go
+++ b/internal/jsonrpc/conn.go
@@ -12,9 +12,11 @@
 // Conn is one end of a stream of JSON-RPC messages, one a line. Messages to send are queued; messages received are
 // passed to a Handler.
 type Conn struct {
-	nc        net.Conn
-	limit     int
-	NextCodec func() func(in io.Reader) error // returns a reader of messages in another codec; nil: JSON lines
+	nc    net.Conn
+	limit int
+	// NextCodec is called before each message. It returns a function that reads one message in another codec, or nil if
+	// the message is a JSON line. If NextCodec is nil, all messages are JSON lines.
+	NextCodec func() func(in io.Reader) error
 
 	mu      sync.Mutex
 	changed *sync.Cond
--- a/internal/jsonrpc/jsonrpc_test.go
+++ b/internal/jsonrpc/jsonrpc_test.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// TestFraming checks that Reader finds the values of a stream in both kinds of framing, and reports errors of framing.
+// TestFraming checks that Reader finds the values of a stream in both kinds of framing, and reports framing errors.
 func TestFraming(t *testing.T) {
 	for _, c := range []struct{ in, want string }{
 		{"a\nb\n", "a|b|EOF"},
--- a/internal/measure/batching.go
+++ b/internal/measure/batching.go
@@ -68,10 +68,10 @@
 				within += bucket.Count
 			}
 		}
-		ms := func(q float64) string { return fmt.Sprintf("%.1f", float64(r.okLatency.ValueAtQuantile(q))/1000) }
+		quantileMs := func(q float64) string { return fmt.Sprintf("%.1f", float64(r.okLatency.ValueAtQuantile(q))/1000) }
 		sent := r.latency.TotalCount()
 		w.AppendRow(table.Row{fmt.Sprintf("%.0f", rate), o.MaxBatch, fmt.Sprintf("%.0f", float64(sent-r.failed)/o.Duration.Seconds()),
-			fmt.Sprintf("%.3f", float64(within)/float64(max(sent, 1))), r.failed, ms(50), ms(99)})
+			fmt.Sprintf("%.3f", float64(within)/float64(max(sent, 1))), r.failed, quantileMs(50), quantileMs(99)})
 	}
 	return nil
 }
--- a/internal/measure/config.go
+++ b/internal/measure/config.go
@@ -42,16 +42,16 @@
 	w.SetTitle("from submit to accepted by all, in one stage; three instances, %d versions each", versionCount)
 	w.AppendHeader(table.Row{"followers", "median ms", "longest ms", "of it until numbered, median ms"})
 	for _, n := range sizes {
-		all, numbered, err := timeFollowers(ctx, exe, n)
+		acceptedTimes, numberedTimes, err := timeFollowers(ctx, exe, n)
 		if err != nil {
 			return err
 		}
-		slices.Sort(all)
-		slices.Sort(numbered)
-		w.AppendRow(table.Row{n, ms(all[len(all)/2]), ms(all[len(all)-1]), ms(numbered[len(numbered)/2])})
+		slices.Sort(acceptedTimes)
+		slices.Sort(numberedTimes)
+		w.AppendRow(table.Row{n, ms(acceptedTimes[len(acceptedTimes)/2]), ms(acceptedTimes[len(acceptedTimes)-1]), ms(numberedTimes[len(numberedTimes)/2])})
 	}
 	w.Render()
-	return measurePause(ctx, exe, lines, out)
+	return measureApplyTurn(ctx, exe, lines, out)
 }
 
 func ms(d time.Duration) string { return fmt.Sprintf("%.1f", float64(d)/float64(time.Millisecond)) }
@@ -90,7 +90,9 @@
 // Discard implements configclient.Change.
 func (checkedChange) Discard() {}
 
-func timeFollowers(ctx context.Context, exe string, n int) (all, numbered []time.Duration, err error) {
+// timeFollowers submits versions to a control service with n followers. It returns for each version the time until all
+// followers have accepted it, and the time until the service has numbered it.
+func timeFollowers(ctx context.Context, exe string, n int) (acceptedTimes, numberedTimes []time.Duration, err error) {
 	dir, err := os.MkdirTemp("", "mallow")
 	if err != nil {
 		return nil, nil, err
@@ -112,7 +114,7 @@
 	if _, _, err := c.Leader(ctx); err != nil {
 		return nil, nil, err
 	}
-	var fleet []*configclient.Client
+	var followers []*configclient.Client
 	for i := range n {
 		o := configclient.Options{Name: fmt.Sprintf("f%d", i), Sockets: sockets,
 			Store:     lastgood.Store{FS: lastgood.Disk{}, Path: filepath.Join(dir, fmt.Sprintf("f%d.kept", i))},
@@ -121,21 +123,21 @@
 				_, err := settings.ReadConfiguration(fmt.Sprintf("version %d", v), strings.NewReader(text))
 				return checkedChange{}, err
 			}, Log: zerolog.Nop()}
-		s := configclient.New(o, configclient.Initial{Source: "own settings"})
-		fleet = append(fleet, s)
-		running.Go(func() error { return s.Run(ctx) })
+		follower := configclient.New(o, configclient.Initial{Source: "own settings"})
+		followers = append(followers, follower)
+		running.Go(func() error { return follower.Run(ctx) })
 	}
-	until := func(what string, is func(configclient.Status) bool) error {
-		for giveUp := time.Now().Add(30 * time.Second); ; time.Sleep(200 * time.Microsecond) {
-			if !slices.ContainsFunc(fleet, func(s *configclient.Client) bool { return !is(s.Status()) }) {
+	awaitAll := func(what string, reached func(configclient.Status) bool) error {
+		for deadline := time.Now().Add(30 * time.Second); ; time.Sleep(200 * time.Microsecond) {
+			if !slices.ContainsFunc(followers, func(s *configclient.Client) bool { return !reached(s.Status()) }) {
 				return nil
 			}
-			if time.Now().After(giveUp) || ctx.Err() != nil {
+			if time.Now().After(deadline) || ctx.Err() != nil {
 				return fmt.Errorf("%d followers: some are not %s", n, what)
 			}
 		}
 	}
-	if err := until("connected", func(s configclient.Status) bool { return s.Connected }); err != nil {
+	if err := awaitAll("connected", func(s configclient.Status) bool { return s.Connected }); err != nil {
 		return nil, nil, err
 	}
 	for i := range versionCount {
@@ -144,11 +146,11 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		numbered = append(numbered, time.Since(begin))
-		if err := until(fmt.Sprintf("at version %d", v), func(s configclient.Status) bool { return s.Version >= v && s.Saved }); err != nil {
+		numberedTimes = append(numberedTimes, time.Since(begin))
+		if err := awaitAll(fmt.Sprintf("at version %d", v), func(s configclient.Status) bool { return s.Version >= v && s.Saved }); err != nil {
 			return nil, nil, err
 		}
-		all = append(all, time.Since(begin))
+		acceptedTimes = append(acceptedTimes, time.Since(begin))
 		for { // wait until the service, too, reports the version as stable
 			if _, st, err := c.Leader(ctx); err != nil {
 				return nil, nil, err
@@ -158,7 +160,7 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 	}
-	return all, numbered, nil
+	return acceptedTimes, numberedTimes, nil
 }
 
 // configurationText returns a configuration of about the given number of lines. Its values depend on n.
@@ -180,8 +182,8 @@
 	return b.String()
 }
 
-// measurePause measures the turn of a front end's event loop that applies a version of many lines.
-func measurePause(ctx context.Context, exe string, lines int, out io.Writer) error {
+// measureApplyTurn measures the turn of a front end's event loop that applies a version of many lines.
+func measureApplyTurn(ctx context.Context, exe string, lines int, out io.Writer) error {
 	dir, err := os.MkdirTemp("", "mallow")
 	if err != nil {
 		return err
@@ -288,7 +290,8 @@
 	return kills, acked, ctx.Err()
 }
 
-// crashOnce starts the instance, checks the versions that it acknowledged before, and kills it while it numbers more.
+// crashOnce starts the instance, checks the versions that it acknowledged before, and kills it at a random moment while
+// more versions are submitted.
 func crashOnce(ctx context.Context, exe, file, socket string, rng *rand.Rand, digests map[uint64]string, highest *uint64,
 	documents *int) (acked int, err error) {
 	cmd := exec.Command(exe, "--log-level", "error", "control", file)
--- a/internal/measure/flood.go
+++ b/internal/measure/flood.go
@@ -26,22 +26,24 @@
 	w.SetTitle("single RPCs beside a neighbour that keeps 5,000 open; %d stand-in workers, %v an RPC", o.Workers, o.WorkTime)
 	w.AppendHeader(table.Row{"", "neighbour's RPCs/s", "single: sent", "not ok", "p50 ms", "p99 ms"})
 	for _, c := range []struct {
-		name string
-		held int
-		open int
+		name      string
+		maxQueued int
+		open      int
 	}{{"alone", 16, 0}, {"fair turns", 16, 5000}, {"without", 0, 5000}} {
-		r, rate, err := measureFlood(ctx, exe, o, c.held, c.open)
+		r, rate, err := measureFlood(ctx, exe, o, c.maxQueued, c.open)
 		if err != nil {
 			return err
 		}
-		ms := func(q float64) string { return fmt.Sprintf("%.1f", float64(r.latency.ValueAtQuantile(q))/1000) }
-		w.AppendRow(table.Row{c.name, fmt.Sprintf("%.0f", rate), r.latency.TotalCount(), r.failed, ms(50), ms(99)})
+		quantileMs := func(q float64) string { return fmt.Sprintf("%.1f", float64(r.latency.ValueAtQuantile(q))/1000) }
+		w.AppendRow(table.Row{c.name, fmt.Sprintf("%.0f", rate), r.latency.TotalCount(), r.failed, quantileMs(50), quantileMs(99)})
 	}
 	w.Render()
 	return ctx.Err()
 }
 
-func measureFlood(ctx context.Context, exe string, o Options, maxHeld, openRPCs int) (r result, rate float64, err error) {
+// measureFlood measures the single RPCs beside openRPCs of the neighbour. rate is the neighbour's RPCs answered ok per
+// second.
+func measureFlood(ctx context.Context, exe string, o Options, maxQueued, openRPCs int) (r result, rate float64, err error) {
 	dir, err := os.MkdirTemp("", "mallow")
 	if err != nil {
 		return r, 0, err
@@ -51,7 +53,7 @@
 	defer end()
 	var procs, conns errgroup.Group
 	defer func() { end(); _ = procs.Wait(); _ = conns.Wait() }()
-	if err := startSystem(ctx, &procs, exe, dir, o, fmt.Sprintf(`held="%d"`, maxHeld), ""); err != nil {
+	if err := startSystem(ctx, &procs, exe, dir, o, fmt.Sprintf(`held="%d"`, maxQueued), ""); err != nil {
 		return r, 0, err
 	}
 	dial := func() (*jsonrpc.Caller, error) { return connect(ctx, &conns, filepath.Join(dir, "front.sock")) }
@@ -69,19 +71,19 @@
 	}
 	var done atomic.Int64
 	begin := time.Now()
-	var again func(n int)
-	again = func(n int) {
+	var sendNext func(n int)
+	sendNext = func(n int) {
 		neighbour.CallAsync("query", params(n%o.Functions), func(a jsonrpc.Response) {
 			if a.Err == nil && time.Since(begin) < o.Duration {
 				if a.Code == 0 {
 					done.Add(1)
 				}
-				again(n)
+				sendNext(n)
 			}
 		})
 	}
 	for n := range openRPCs {
-		again(n)
+		sendNext(n)
 	}
 	time.Sleep(500 * time.Millisecond)
 	r.latency = histogram()
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -41,7 +41,7 @@
 
 const (
 	maxValueBytes  = 64 << 20
-	openLoopRounds = 4 // in which the open loops alternate
+	openLoopRounds = 4 // rounds in which the open loops of the two targets alternate
 )
 
 // target is where RPCs are sent: through the front end or directly to workers.
--- a/internal/measure/fronts.go
+++ b/internal/measure/protocols.go
@@ -60,14 +60,14 @@
 	for _, size := range sizes {
 		raw := bytes.Repeat([]byte{7}, size)
 		for _, f := range []struct {
-			name string
-			make func() (func() error, func(), error)
+			name      string
+			newClient func() (func() error, func(), error)
 		}{
 			{"JSON-RPC, base64", func() (func() error, func(), error) { return jsonRPCClient(ctx, &conns, dir, raw) }},
 			{"HTTP, binary data", func() (func() error, func(), error) { return httpClient(ctx, dir, raw) }},
 			{"gRPC, raw contents", func() (func() error, func(), error) { return grpcClient(ctx, dir, raw) }},
 		} {
-			call, done, err := f.make()
+			call, done, err := f.newClient()
 			if err != nil {
 				return err
 			}
@@ -83,9 +83,9 @@
 			}
 			n := float64(max(after.Counts.Taken-before.Counts.Taken, 1))
 			each := func(after, before uint64) string { return fmt.Sprintf("%.0f", float64(after-before)/n) }
-			p, q := after.Process, before.Process
+			usageAfter, usageBefore := after.Process, before.Process
 			w.AppendRow(table.Row{size, f.name, fmt.Sprintf("%.0f", r.rate), r.failed, r.latency.ValueAtQuantile(50), r.latency.ValueAtQuantile(99),
-				each(p.Allocated, q.Allocated), each(p.Allocations, q.Allocations), each(p.Read, q.Read), each(p.Written, q.Written)})
+				each(usageAfter.Allocated, usageBefore.Allocated), each(usageAfter.Allocations, usageBefore.Allocations), each(usageAfter.Read, usageBefore.Read), each(usageAfter.Written, usageBefore.Written)})
 		}
 	}
 	w.Render()
--- a/internal/rehearse/config.go
+++ b/internal/rehearse/config.go
@@ -19,7 +19,7 @@
 // configResults counts the configurations that a scenario submits, and what becomes of them.
 type configResults struct {
 	mu           sync.Mutex
-	bad          map[uint64]bool // by version: is it invalid on purpose
+	bad          map[uint64]bool // by version: whether it is invalid on purpose
 	submitted    int
 	notConfirmed int // the service could not be reached, or could not say whether it accepted the submission
 
@@ -30,17 +30,17 @@
 }
 
 // submitConfigs submits t.Size configurations per second; the share t.Part of them is invalid.
-func (inj *faultInjector) submitConfigs(ctx context.Context, t settings.Trouble, rng *rand.Rand) error {
+func (inj *faultInjector) submitConfigs(ctx context.Context, trouble settings.Trouble, rng *rand.Rand) error {
 	client, err := control.Dial(inj.fleet.controlSockets())
 	if err != nil {
 		return err
 	}
 	defer client.Close()
-	ctx, cancel := context.WithTimeout(ctx, eventloop.ToDuration(t.For))
+	ctx, cancel := context.WithTimeout(ctx, eventloop.ToDuration(trouble.For))
 	defer cancel()
-	interval := time.Duration(float64(time.Second) / max(t.Size, 0.001))
+	interval := time.Duration(float64(time.Second) / max(trouble.Size, 0.001))
 	for n := 0; sleep(ctx, interval); n++ {
-		bad := rng.Float64() < t.Part
+		bad := rng.Float64() < trouble.Part
 		text, err := scenario.ChangedConfiguration(inj.fleet.scenario, inj.fleet.dir, n, bad, rng)
 		if err != nil {
 			return err
@@ -65,7 +65,8 @@
 	inj.configs.bad[version] = bad
 }
 
-// submitMove submits a configuration that changes the shape of the scenario's service; see scenario.Move.
+// submitMove submits a configuration that changes the shape of the scenario's service; see
+// scenario.ConfigurationOfOtherShape.
 func (inj *faultInjector) submitMove(ctx context.Context) error {
 	client, err := control.Dial(inj.fleet.controlSockets())
 	if err != nil {
--- a/internal/rehearse/load.go
+++ b/internal/rehearse/load.go
@@ -42,7 +42,7 @@
 	start     time.Time
 
 	mu          sync.Mutex
-	book        *scenario.Tallies
+	tallies     *scenario.Tallies
 	pools       []*connPool
 	deadSince   []time.Time // by front end; zero: it runs
 	readers     sync.WaitGroup
@@ -63,7 +63,7 @@
 }
 
 func newLoadGenerator(s *settings.Scenario, f *fleet, addRecord func(record.Record)) (*loadGenerator, error) {
-	g := &loadGenerator{scenario: s, fleet: f, addRecord: addRecord, book: scenario.NewTallies(s), methods: map[string]*settings.Method{},
+	g := &loadGenerator{scenario: s, fleet: f, addRecord: addRecord, tallies: scenario.NewTallies(s), methods: map[string]*settings.Method{},
 		deadSince: make([]time.Time, s.Fleet.FrontEnds)}
 	for i := range s.Service.Methods {
 		m := &s.Service.Methods[i]
@@ -136,7 +136,7 @@
 	}, eventloop.ToDuration(g.scenario.Callers.Notice))
 }
 
-// setFrontEndDead notes whether a front end is dead or runs.
+// setFrontEndDead records whether a front end is dead or runs.
 func (g *loadGenerator) setFrontEndDead(i int, dead bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -199,27 +199,27 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.book.Count(method, arrival.At, outcome, time.Since(began))
+	g.tallies.Count(method, arrival.At, outcome, time.Since(began))
 }
 
 // sendTry sends one try of an RPC and waits for its answer until the timeout. Later answers are still recorded.
-func (g *loadGenerator) sendTry(ctx context.Context, fe int, mark string, client *scenario.Client, arrival scenario.Arrival, timeout time.Duration,
+func (g *loadGenerator) sendTry(ctx context.Context, frontEnd int, mark string, client *scenario.Client, arrival scenario.Arrival, timeout time.Duration,
 	repeat bool) (outcome string, sent bool, retryAfter time.Duration) {
 	m, mix, function, token := client.Method, arrival.Mix, arrival.Function, client.Token
 	if mix.Protocol != jsonRPCProtocol && !arrival.Once {
-		addRecord, ms := g.tryRecorder(fe, mark, token, function, m, timeout)
+		addRecord, timeoutMs := g.tryRecorder(frontEnd, mark, token, function, m, timeout)
 		if mix.Protocol == "grpc" {
-			return g.sendGRPC(ctx, fe, mark, token, function, mix, m, ms, addRecord)
+			return g.sendGRPC(ctx, frontEnd, mark, token, function, mix, m, timeoutMs, addRecord)
 		}
-		return g.sendHTTP(ctx, fe, mark, token, function, mix, m, ms, addRecord)
+		return g.sendHTTP(ctx, frontEnd, mark, token, function, mix, m, timeoutMs, addRecord)
 	}
 	leaveAfter, closes, impatient := client.Impatient()
 	var conn *jsonrpc.Caller
 	var err error
 	if impatient { // it uses a connection of its own, which it may close
-		conn, err = g.pools[fe].dial(ctx)
+		conn, err = g.pools[frontEnd].dial(ctx)
 	} else {
-		conn, err = g.pools[fe].get(ctx)
+		conn, err = g.pools[frontEnd].get(ctx)
 	}
 	if err != nil {
 		return "lost", false, 0
@@ -234,8 +234,8 @@
 	if repeat {
 		params = append(params, `,"repeat":true`...)
 	}
-	addRecord, ms := g.tryRecorder(fe, mark, token, function, m, timeout)
-	params = strconv.AppendFloat(append(params, `,"time_ms":`...), ms, 'f', 1, 64)
+	addRecord, timeoutMs := g.tryRecorder(frontEnd, mark, token, function, m, timeout)
+	params = strconv.AppendFloat(append(params, `,"time_ms":`...), timeoutMs, 'f', 1, 64)
 	params = append(jsonrpc.AppendString(append(params, `,"payload":{"mark":`...), mark), "}}"...)
 	addRecord(record.RPCSent, "")
 	first := make(chan jsonrpc.Response, 1)
@@ -289,13 +289,13 @@
 }
 
 // tryRecorder returns a function that records the events of one try, and the timeout in ms that the request states.
-func (g *loadGenerator) tryRecorder(fe int, mark, token, function string, m *settings.Method, timeout time.Duration) (
-	addRecord func(kind, outcome string), ms float64) {
-	ms = math.Floor(float64(timeout)/1e5) / 10
+func (g *loadGenerator) tryRecorder(frontEnd int, mark, token, function string, m *settings.Method, timeout time.Duration) (
+	addRecord func(kind, outcome string), timeoutMs float64) {
+	timeoutMs = math.Floor(float64(timeout)/1e5) / 10
 	return func(kind, outcome string) {
-		g.addRecord(record.Record{UnixNS: time.Now().UnixNano(), Source: "client", FrontEnd: frontEndName(fe), RPC: mark, Method: m.Name,
-			Function: function, Token: token, DurationMS: ms, Kind: kind, Outcome: outcome})
-	}, ms
+		g.addRecord(record.Record{UnixNS: time.Now().UnixNano(), Source: "client", FrontEnd: frontEndName(frontEnd), RPC: mark, Method: m.Name,
+			Function: function, Token: token, DurationMS: timeoutMs, Kind: kind, Outcome: outcome})
+	}, timeoutMs
 }
 
 // slack is how long a client waits beyond its timeout, so that late answers are recorded, too.
@@ -304,9 +304,9 @@
 }
 
 // sendGRPC is sendTry over KServe's gRPC; one connection carries many RPCs.
-func (g *loadGenerator) sendGRPC(ctx context.Context, fe int, mark, token, function string, mix settings.Mix,
-	m *settings.Method, ms float64, addRecord func(kind, outcome string)) (outcome string, sent bool, retryAfter time.Duration) {
-	headers := []string{"inference-timeout-ms", strconv.FormatFloat(ms, 'f', 1, 64)}
+func (g *loadGenerator) sendGRPC(ctx context.Context, frontEnd int, mark, token, function string, mix settings.Mix,
+	m *settings.Method, timeoutMs float64, addRecord func(kind, outcome string)) (outcome string, sent bool, retryAfter time.Duration) {
+	headers := []string{"inference-timeout-ms", strconv.FormatFloat(timeoutMs, 'f', 1, 64)}
 	if m.Effect == router.Tokened {
 		headers = append(headers, "idempotency-key", token)
 	}
@@ -314,10 +314,10 @@
 		headers = append(headers, "inference-customer", mix.Customer)
 	}
 	ctx, cancel := context.WithTimeout(metadata.AppendToOutgoingContext(ctx, headers...),
-		time.Duration(ms*float64(time.Millisecond))+g.slack())
+		time.Duration(timeoutMs*float64(time.Millisecond))+g.slack())
 	defer cancel()
 	addRecord(record.RPCSent, "")
-	_, err := g.grpcClients[fe].ModelInfer(ctx, &oip.ModelInferRequest{ModelName: function,
+	_, err := g.grpcClients[frontEnd].ModelInfer(ctx, &oip.ModelInferRequest{ModelName: function,
 		Parameters: map[string]*oip.InferParameter{"mark": {ParameterChoice: &oip.InferParameter_StringParam{StringParam: mark}}},
 		Inputs: []*oip.ModelInferRequest_InferInputTensor{{Name: "x", Datatype: "INT32", Shape: []int64{1},
 			Contents: &oip.InferTensorContents{IntContents: []int32{1}}}}})
@@ -344,14 +344,14 @@
 }
 
 // sendHTTP is sendTry over KServe's HTTP.
-func (g *loadGenerator) sendHTTP(ctx context.Context, fe int, mark, token, function string, mix settings.Mix,
-	m *settings.Method, ms float64, addRecord func(kind, outcome string)) (outcome string, sent bool, retryAfter time.Duration) {
+func (g *loadGenerator) sendHTTP(ctx context.Context, frontEnd int, mark, token, function string, mix settings.Mix,
+	m *settings.Method, timeoutMs float64, addRecord func(kind, outcome string)) (outcome string, sent bool, retryAfter time.Duration) {
 	body := fmt.Sprintf(`{"parameters":{"mark":%q},"inputs":[{"name":"x","datatype":"INT32","shape":[1],"data":[1]}]}`, mark)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://front/v2/models/"+function+"/infer", strings.NewReader(body))
 	if err != nil {
 		return "lost", false, 0
 	}
-	req.Header.Set("Inference-Timeout-Ms", strconv.FormatFloat(ms, 'f', 1, 64))
+	req.Header.Set("Inference-Timeout-Ms", strconv.FormatFloat(timeoutMs, 'f', 1, 64))
 	if m.Effect == router.Tokened {
 		req.Header.Set("Idempotency-Key", token)
 	}
@@ -360,12 +360,12 @@
 	}
 	// The request has a connection of its own: net/http would send it again if the front end closed a pooled
 	// connection.
-	conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "unix", g.fleet.httpSocket(fe))
+	conn, err := (&net.Dialer{Timeout: time.Second}).DialContext(ctx, "unix", g.fleet.httpSocket(frontEnd))
 	if err != nil {
 		return "lost", false, 0
 	}
 	defer conn.Close()
-	_ = conn.SetDeadline(time.Now().Add(time.Duration(ms*float64(time.Millisecond)) + g.slack()))
+	_ = conn.SetDeadline(time.Now().Add(time.Duration(timeoutMs*float64(time.Millisecond)) + g.slack()))
 	addRecord(record.RPCSent, "")
 	req.Close = true
 	if err = req.Write(conn); err == nil {
--- a/internal/rehearse/tool.go
+++ b/internal/rehearse/loadcmd.go
@@ -47,9 +47,9 @@
 			return nil, m.Errorf("mix of method %q over %s: no sockets given for this protocol", m.Method, m.Protocol)
 		}
 	}
-	scn := *s
-	scn.Fleet.FrontEnds = sockets.Len()
-	generator, err := newLoadGenerator(&scn, &fleet{scenario: &scn, external: &sockets}, func(record.Record) {})
+	scenarioCopy := *s
+	scenarioCopy.Fleet.FrontEnds = sockets.Len()
+	generator, err := newLoadGenerator(&scenarioCopy, &fleet{scenario: &scenarioCopy, external: &sockets}, func(record.Record) {})
 	if err != nil {
 		return nil, err
 	}
@@ -58,7 +58,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer func() { cancel(); generator.readers.Wait() }()
 	generator.run(ctx)
-	return generator.book, nil
+	return generator.tallies, nil
 }
 
 // Load sends a scenario's load from several processes of this program and prints one table of the results.
@@ -71,7 +71,7 @@
 	if err != nil {
 		return err
 	}
-	book := scenario.NewTallies(s)
+	tallies := scenario.NewTallies(s)
 	var mu sync.Mutex
 	var group errgroup.Group
 	begin := time.Now()
@@ -98,12 +98,12 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			return book.Merge(&partial)
+			return tallies.Merge(&partial)
 		})
 	}
 	if err := group.Wait(); err != nil {
 		return errors.Join(err, ctx.Err())
 	}
-	book.Print(out, fmt.Sprintf("%s: load of %d processes on %d front ends, %.1f s", s.Name, processes, sockets.Len(), time.Since(begin).Seconds()))
+	tallies.Print(out, fmt.Sprintf("%s: load of %d processes on %d front ends, %.1f s", s.Name, processes, sockets.Len(), time.Since(begin).Seconds()))
 	return nil
 }
--- a/internal/rehearse/rehearse.go
+++ b/internal/rehearse/rehearse.go
@@ -60,9 +60,9 @@
 		mu.Unlock()
 	}
 	f := &fleet{scenario: s, exe: exe, dir: dir, addRecord: addRecord, latest: map[string]*process{}}
-	longest := time.Duration(0)
+	longestDeadline := time.Duration(0)
 	for _, m := range s.Service.Methods {
-		longest = max(longest, eventloop.ToDuration(m.Deadline))
+		longestDeadline = max(longestDeadline, eventloop.ToDuration(m.Deadline))
 	}
 	stopped := false
 	defer func() {
@@ -84,20 +84,20 @@
 		return nil, err
 	}
 	defer generator.close()
-	dayCtx, cancel := context.WithCancel(ctx)
+	scenarioCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	injector := &faultInjector{fleet: f, generator: generator, log: log}
 	troublesDone := make(chan struct{})
 	begin := time.Now()
-	go func() { defer close(troublesDone); injector.run(dayCtx, begin) }()
-	generator.run(dayCtx)
+	go func() { defer close(troublesDone); injector.run(scenarioCtx, begin) }()
+	generator.run(scenarioCtx)
 	<-troublesDone
 	// The last RPCs must be answered by their deadline, or a rule is broken.
-	sleep(ctx, longest+eventloop.ToDuration(s.Slack))
+	sleep(ctx, longestDeadline+eventloop.ToDuration(s.Slack))
 	if err := injector.configs.collect(ctx, f); err != nil {
 		log.Warn().Err(err).Msg("could not read the final states of the configurations from the control service")
 	}
-	f.stop(longest + time.Second)
+	f.stop(longestDeadline + time.Second)
 	stopped = true
 	cancel()
 	generator.readers.Wait()
@@ -120,7 +120,7 @@
 		}
 	}
 	all := append(clientRecords, fleetRecords...)
-	outcome := scenario.Evaluate(s, all, generator.book, injector.configs.String())
+	outcome := scenario.Evaluate(s, all, generator.tallies, injector.configs.String())
 	outcome.OtherFailure = len(injector.configs.badInForce) > 0
 	return outcome, ctx.Err()
 }
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -20,8 +20,8 @@
 	"mallowlanding/router"
 )
 
-// The test binary also serves as the program that a rehearsal starts; see TestMain. The environment variable names the
-// rule that a front end breaks on purpose.
+// brokenRuleEnv is the environment variable that names the rule that a front end breaks on purpose. The rehearsal
+// starts the test binary as its program; see TestMain.
 const brokenRuleEnv = "MALLOWLANDING_TEST_BREAKS_RULE"
 
 func TestMain(m *testing.M) {
@@ -118,28 +118,28 @@
 	breaker *ruleBreaker
 }
 
-func (l *ruleBreakingLink) Send(id engine.CallOutID, rpc *engine.RPC, left, by router.Time) {
+func (l *ruleBreakingLink) Send(id engine.CallOutID, rpc *engine.RPC, clientWait, sendBy router.Time) {
 	b := l.breaker
 	switch b.rule {
 	case "2": // sends side-effecting RPCs to two workers
-		if l.Link.Send(id, rpc, left, by); rpc.Method.Effect == router.SideEffecting {
+		if l.Link.Send(id, rpc, clientWait, sendBy); rpc.Method.Effect == router.SideEffecting {
 			for _, other := range b.links {
 				if other != l.Link {
-					other.Send(id, rpc, left, by)
+					other.Send(id, rpc, clientWait, sendBy)
 					return
 				}
 			}
 		}
 	case "3": // sends everything to the worker that was known first, even if it drains
-		b.links[b.first].Send(id, rpc, left, by)
+		b.links[b.first].Send(id, rpc, clientWait, sendBy)
 	case "4": // overloads the worker that was added last, even if it is cold
-		l.Link.Send(id, rpc, left, by)
+		l.Link.Send(id, rpc, clientWait, sendBy)
 		for range 10 {
-			b.links[b.last].Send(id, rpc, left, by)
+			b.links[b.last].Send(id, rpc, clientWait, sendBy)
 		}
 	case "5": // orders a load for each RPC
-		l.Link.OrderLoad(engine.OrderID(1<<40|uint64(id)), rpc.Function, rpc.Spec, 1, by)
-		l.Link.Send(id, rpc, left, by)
+		l.Link.OrderLoad(engine.OrderID(1<<40|uint64(id)), rpc.Function, rpc.Spec, 1, sendBy)
+		l.Link.Send(id, rpc, clientWait, sendBy)
 	}
 }
 
--- a/internal/rehearse/trouble.go
+++ b/internal/rehearse/trouble.go
@@ -66,10 +66,11 @@
 	return out
 }
 
-// inject plays one trouble and returns when it has ended, or when the workers play it on by themselves.
-func (inj *faultInjector) inject(ctx context.Context, t settings.Trouble, rng *rand.Rand) error {
-	span := eventloop.ToDuration(t.For)
-	params := fmt.Sprintf(`{"for_ms":%g,"size":%g,"seed":%d}`, float64(t.For)/10, t.Size, inj.fleet.scenario.Seed)
+// inject plays one trouble. It returns when the trouble has ended or, for a fault that the workers time themselves,
+// when the fault has been requested from them.
+func (inj *faultInjector) inject(ctx context.Context, trouble settings.Trouble, rng *rand.Rand) error {
+	span := eventloop.ToDuration(trouble.For)
+	params := fmt.Sprintf(`{"for_ms":%g,"size":%g,"seed":%d}`, float64(trouble.For)/10, trouble.Size, inj.fleet.scenario.Seed)
 	sendToEach := func(workers []*settings.Worker, fault, params string) error {
 		for _, w := range workers {
 			if err := inj.fleet.sendFault(ctx, w, fault, params); err != nil {
@@ -78,31 +79,31 @@
 		}
 		return nil
 	}
-	switch t.Kind {
+	switch trouble.Kind {
 	case "burst", "scan": // part of the load that clients send
 		return nil
 	case "hang":
-		return sendToEach(inj.pickWorkers(t.Part, rng), "fault.hang", params)
+		return sendToEach(inj.pickWorkers(trouble.Part, rng), "fault.hang", params)
 	case "slow":
-		return sendToEach(inj.pickWorkers(t.Part, rng), "fault.slow", params)
+		return sendToEach(inj.pickWorkers(trouble.Part, rng), "fault.slow", params)
 	case "fast-errors":
-		return sendToEach(inj.pickWorkers(t.Part, rng), "fault.errors", params)
+		return sendToEach(inj.pickWorkers(trouble.Part, rng), "fault.errors", params)
 	case "load-fails":
-		return sendToEach(inj.pickWorkers(t.Part, rng), "fault.load_fails", params)
+		return sendToEach(inj.pickWorkers(trouble.Part, rng), "fault.load_fails", params)
 	case "report-late":
 		return sendToEach(inj.pickWorkers(1, rng), "fault.reports_late", params)
 	case "flush":
 		return sendToEach(inj.pickWorkers(1, rng), "fault.release", params)
 	case "half-frame":
-		return sendToEach(inj.pickWorkers(t.Part, rng), "fault.half_frame", params)
+		return sendToEach(inj.pickWorkers(trouble.Part, rng), "fault.half_frame", params)
 	case "close":
-		return sendToEach(inj.pickWorkers(t.Part, rng), "fault.close", params)
+		return sendToEach(inj.pickWorkers(trouble.Part, rng), "fault.close", params)
 	case "crash":
-		return inj.crashWorkers(ctx, inj.pickWorkers(t.Part, rng), span)
+		return inj.crashWorkers(ctx, inj.pickWorkers(trouble.Part, rng), span)
 	case "ageing":
-		workers := inj.pickWorkers(t.Part, rng)
-		for _, factor := range []float64{1 + t.Size/3, 1 + 2*t.Size/3, 1 + t.Size} {
-			p := fmt.Sprintf(`{"for_ms":%g,"size":%g}`, float64(t.For)/10, factor)
+		workers := inj.pickWorkers(trouble.Part, rng)
+		for _, factor := range []float64{1 + trouble.Size/3, 1 + 2*trouble.Size/3, 1 + trouble.Size} {
+			p := fmt.Sprintf(`{"for_ms":%g,"size":%g}`, float64(trouble.For)/10, factor)
 			if err := sendToEach(workers, "fault.slow", p); err != nil {
 				return err
 			}
@@ -114,14 +115,14 @@
 	case "zone-loss":
 		var workers []*settings.Worker
 		for _, w := range inj.pickWorkers(1, rng) {
-			if w.Zone == t.Zone {
+			if w.Zone == trouble.Zone {
 				workers = append(workers, w)
 			}
 		}
 		var wg sync.WaitGroup
-		if t.Size > 0.5 {
+		if trouble.Size > 0.5 {
 			for i := range inj.fleet.scenario.Fleet.FrontEnds {
-				if inj.fleet.scenario.ZoneOf(i) == t.Zone {
+				if inj.fleet.scenario.ZoneOf(i) == trouble.Zone {
 					wg.Add(1)
 					go func() { defer wg.Done(); _ = inj.killFrontEnd(ctx, i, span) }()
 				}
@@ -131,8 +132,8 @@
 		wg.Wait()
 		return err
 	case "deploy":
-		workers := inj.pickWorkers(t.Part, rng)
-		batch := max(1, int(math.Round(t.Size*float64(len(workers)))))
+		workers := inj.pickWorkers(trouble.Part, rng)
+		batch := max(1, int(math.Round(trouble.Size*float64(len(workers)))))
 		batches := (len(workers) + batch - 1) / batch
 		for i := 0; i < len(workers); i += batch {
 			for _, w := range workers[i:min(i+batch, len(workers))] {
@@ -146,14 +147,14 @@
 		}
 		return nil
 	case "preempt":
-		for _, w := range inj.pickWorkers(t.Part, rng) {
+		for _, w := range inj.pickWorkers(trouble.Part, rng) {
 			if err := inj.replaceWorker(ctx, w, span); err != nil {
 				return err
 			}
 		}
 		return nil
 	case "config", "config-flood":
-		return inj.submitConfigs(ctx, t, rng)
+		return inj.submitConfigs(ctx, trouble, rng)
 	case "config-move":
 		return inj.submitMove(ctx)
 	case "control-kill":
@@ -189,7 +190,7 @@
 		inj.addEvent(record.ProcessResumed, name)
 		return nil
 	}
-	return fmt.Errorf("trouble %q cannot be produced with processes on one machine: use the emulator", t.Kind)
+	return fmt.Errorf("trouble %q cannot be produced with processes on one machine: use the emulator", trouble.Kind)
 }
 
 // addEvent records what happens to a front end.
--- a/internal/rosterwatch/watcher.go
+++ b/internal/rosterwatch/watcher.go
@@ -76,8 +76,8 @@
 	started router.Time
 }
 
-// Watcher watches one roster at a time. Its worker list is used on the event loop's goroutine only; mu guards the fields
-// of the connection.
+// Watcher watches one roster at a time. Its worker list is used on the event loop's goroutine only; mu guards the
+// fields of the connection.
 type Watcher struct {
 	opts          Options
 	loop          *eventloop.Loop
@@ -145,7 +145,7 @@
 	return ""
 }
 
-// listStaticWorkers lists the static workers that the roster has not listed.
+// listStaticWorkers reports the static workers that the roster has not listed to the engine.
 func (w *Watcher) listStaticWorkers() {
 	names := make([]string, 0, len(w.staticWorkers))
 	for name := range w.staticWorkers {
@@ -159,7 +159,7 @@
 	}
 }
 
-// updateWorker lists one worker at the engine, and adds or removes its link.
+// updateWorker reports one listed worker to the engine, and adds or removes its link.
 func (w *Watcher) updateWorker(e entry) {
 	life := w.lives[e.Name]
 	if err := w.engine.AddListedWorker(e.Name, readinessByState[e.State], life.started, w.opts.Zone(e.Zone), w.opts.Cell(e.Cell), w.opts.Kind(e.Kind)); err != nil {
@@ -296,7 +296,7 @@
 }
 
 // HandleResponse implements jsonrpc.Handler. The watcher sends no requests that have a response.
-func (p *connHandler) HandleResponse(jsonrpc.ID, []byte, int, string, []byte) {}
+func (h *connHandler) HandleResponse(jsonrpc.ID, []byte, int, string, []byte) {}
 
 // HandleRequest implements jsonrpc.Handler. It applies roster.list and ignores other methods.
 func (h *connHandler) HandleRequest(_ jsonrpc.ID, method string, params []byte) {
@@ -353,14 +353,14 @@
 	return nameid.CheckDistinct(names, nameid.Worker)
 }
 
-// applyList applies a list to the engine and the links, and queues it for the cache file. It runs in a turn of the event
-// loop.
+// applyList applies a list to the engine and the links, and queues it for the cache file. It runs in a turn of the
+// event loop.
 func (w *Watcher) applyList(update router.ListUpdate, version uint64, workers []entry) {
 	w.version = version
 	w.engine.BeginWorkerList(update, version)
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for _, e := range workers {
-		named[e.Name] = true
+		listed[e.Name] = true
 		life := w.lives[e.Name]
 		if life.id != e.Life {
 			life = lifetime{id: e.Life}
@@ -373,7 +373,7 @@
 	}
 	if update == router.ListComplete {
 		for _, name := range w.order {
-			if e := w.entries[name]; !named[name] && !e.static && e.State != "gone" {
+			if e := w.entries[name]; !listed[name] && !e.static && e.State != "gone" {
 				e.State = "gone"
 				w.entries[name] = e
 				w.links.Remove(name)
--- a/internal/workerlink/link.go
+++ b/internal/workerlink/link.go
@@ -150,7 +150,7 @@
 	cancel       context.CancelFunc
 
 	// used on the event loop's goroutine only
-	wanted   bool
+	wanted   bool               // false: the worker is removed, and the link closes when it is idle
 	stream   *stream            // nil: no connection on which the worker has reported ready
 	inFlight map[string]request // requests sent on the current connection, by id
 	queued   []*queuedRequest   // to be sent when the worker is ready, unless they expire first
@@ -162,7 +162,7 @@
 	binary   bool   // event loop only: frames are sent instead of JSON lines
 	batches  bool   // event loop only: the worker accepts host.batch
 	enqueued uint64 // event loop only: bytes queued so far
-	dirty    bool   // event loop only: it is in Set.dirtyStreams
+	dirty    bool   // event loop only: the stream is in Set.dirtyStreams
 
 	mu      sync.Mutex
 	unsent  []byte
@@ -609,8 +609,9 @@
 	}
 }
 
-// connectionLost ends all requests that were in flight on a lost connection. The socket accepted written bytes of its
-// stream, so a request whose message starts at or beyond written was not sent. It runs in a turn of the event loop.
+// connectionLost ends all requests that were in flight on a lost connection. written is the number of bytes of its
+// stream that the socket accepted: a request whose message starts at or beyond that offset was not sent. It runs in a
+// turn of the event loop.
 func (l *Link) connectionLost(written uint64, err error) {
 	l.stream = nil
 	var batchedIDs []engine.CallOutID
