--- a/internal/frames/frames_test.go
+++ b/internal/frames/frames_test.go
@@ -13,10 +13,10 @@
 type recorder struct{ call string }
 
 func (r *recorder) HandleRequestBlob(id []byte, method string, params, blob []byte) {
-	r.call = fmt.Sprintf("asked %s %s %s %x", id, method, params, blob)
+	r.call = fmt.Sprintf("request %s %s %s %x", id, method, params, blob)
 }
 func (r *recorder) HandleResponseBlob(id []byte, result []byte, code int, text string, data, blob []byte) {
-	r.call = fmt.Sprintf("answered %s %s %d %s %s %x", id, result, code, text, data, blob)
+	r.call = fmt.Sprintf("response %s %s %d %s %s %x", id, result, code, text, data, blob)
 }
 
 // TestFrames checks that messages survive encoding and decoding, and that Read reports truncated, oversized and invalid
@@ -28,7 +28,7 @@
 	b = AppendResponse(b, []byte(`"x"`), []byte("1"), 0, "", nil, []byte{1})
 	b = AppendResponse(b, []byte("8"), nil, -5, "no", []byte("{}"), nil)
 	in := bytes.NewReader(b)
-	for _, want := range []string{`asked 7 m {"a":1} 00ff`, "asked  n  ", `answered "x" 1 0   01`, "answered 8  -5 no {} "} {
+	for _, want := range []string{`request 7 m {"a":1} 00ff`, "request  n  ", `response "x" 1 0   01`, "response 8  -5 no {} "} {
 		var r recorder
 		if err := Read(in, 1000, &r); err != nil || r.call != want {
 			t.Errorf("got %q, error %v, want %q", r.call, err, want)
--- a/internal/jsonrpc/jsonrpc_test.go
+++ b/internal/jsonrpc/jsonrpc_test.go
@@ -18,12 +18,14 @@
 func (r *recorder) BeginBatch() { r.record("[") }
 func (r *recorder) EndBatch()   { r.record("]") }
 func (r *recorder) HandleRequest(id ID, method string, params []byte) {
-	r.record("asked %s %s %s", id, method, params)
+	r.record("request %s %s %s", id, method, params)
 }
 func (r *recorder) HandleResponse(id ID, result []byte, code int, message string, data []byte) {
-	r.record("answered %s %s %d %s %s", id, result, code, message, data)
+	r.record("response %s %s %d %s %s", id, result, code, message, data)
+}
+func (r *recorder) HandleInvalid(id ID, code int, message string) {
+	r.record("invalid %s %d", id, code)
 }
-func (r *recorder) HandleInvalid(id ID, code int, message string) { r.record("broken %s %d", id, code) }
 
 func decode(value string) string {
 	var r recorder
@@ -34,24 +36,24 @@
 // TestDecode checks how Decoder passes on valid, invalid and batched messages.
 func TestDecode(t *testing.T) {
 	for value, want := range map[string]string{
-		`{"jsonrpc":"2.0","id":1,"method":"m","params":{"a":1}}`:                 `asked 1 m {"a":1}`,
-		` {"params":[1,2] , "method":"\u006d", "jsonrpc":"2.0"} `:                `asked  m [1,2]`,
-		`{"jsonrpc":"2.0","id":"x","result":null}`:                               `answered "x" null 0  `,
-		`{"jsonrpc":"2.0","id":1,"error":{"code":-5,"message":"no","data":[7]}}`: `answered 1  -5 no [7]`,
-		`{"jsonrpc":"2.0","id":1,"error":7}`:                                     `broken 1 -32600`,
-		`{"jsonrpc":"2.0","id":1,"error":{"code":0}}`:                            `broken 1 -32600`,
-		`{"jsonrpc":"2.0","id":1,"result":1,"error":{"code":1}}`:                 `broken 1 -32600`,
-		`{"jsonrpc":"2.0","id":{},"method":"m"}`:                                 `broken null -32600`,
-		`{"jsonrpc":"2.0","id":1,"method":null}`:                                 `broken 1 -32600`,
-		`{"jsonrpc":"2.0","id":1,"method":"m","params":null}`:                    `broken 1 -32600`,
-		`[{"jsonrpc":"2.0","method":"m"},[],3]`:                                  `[; asked  m ; broken null -32600; broken null -32600; ]`,
-		`[]`:                                                                     `broken null -32600`,
-		``:                                                                       `broken null -32700`,
-		`nul`:                                                                    `broken null -32700`,
-		"\"\xff\"":                                                               `broken null -32700`,
-		strings.Repeat("[", 1e6):                                                 `broken null -32700`,
-		strings.Repeat(`{"a":`, 20000) + "1":                                     `broken null -32700`,
-		`{"jsonrpc":"2.0","method":"m"} trailing`:                                `broken null -32700`,
+		`{"jsonrpc":"2.0","id":1,"method":"m","params":{"a":1}}`:                 `request 1 m {"a":1}`,
+		` {"params":[1,2] , "method":"\u006d", "jsonrpc":"2.0"} `:                `request  m [1,2]`,
+		`{"jsonrpc":"2.0","id":"x","result":null}`:                               `response "x" null 0  `,
+		`{"jsonrpc":"2.0","id":1,"error":{"code":-5,"message":"no","data":[7]}}`: `response 1  -5 no [7]`,
+		`{"jsonrpc":"2.0","id":1,"error":7}`:                                     `invalid 1 -32600`,
+		`{"jsonrpc":"2.0","id":1,"error":{"code":0}}`:                            `invalid 1 -32600`,
+		`{"jsonrpc":"2.0","id":1,"result":1,"error":{"code":1}}`:                 `invalid 1 -32600`,
+		`{"jsonrpc":"2.0","id":{},"method":"m"}`:                                 `invalid null -32600`,
+		`{"jsonrpc":"2.0","id":1,"method":null}`:                                 `invalid 1 -32600`,
+		`{"jsonrpc":"2.0","id":1,"method":"m","params":null}`:                    `invalid 1 -32600`,
+		`[{"jsonrpc":"2.0","method":"m"},[],3]`:                                  `[; request  m ; invalid null -32600; invalid null -32600; ]`,
+		`[]`:                                                                     `invalid null -32600`,
+		``:                                                                       `invalid null -32700`,
+		`nul`:                                                                    `invalid null -32700`,
+		"\"\xff\"":                                                               `invalid null -32700`,
+		strings.Repeat("[", 1e6):                                                 `invalid null -32700`,
+		strings.Repeat(`{"a":`, 20000) + "1":                                     `invalid null -32700`,
+		`{"jsonrpc":"2.0","method":"m"} trailing`:                                `invalid null -32700`,
 	} {
 		if got := decode(value); got != want {
 			t.Errorf("decoding %.80s: got %s, want %s", value, got, want)
