--- a/cmd/mallowlanding/config.go
+++ b/cmd/mallowlanding/config.go
@@ -22,7 +22,6 @@
 	Settings string `arg:"" help:"The instance's settings."`
 }
 
-// Run runs an instance of the control service.
 func (c *controlCmd) Run(e *runEnv) error {
 	s, err := settings.ReadControl(c.Settings)
 	if err != nil {
@@ -68,7 +67,6 @@
 	return os.ReadFile(file)
 }
 
-// Run submits a configuration.
 func (c *submitCmd) Run(e *runEnv, parent *configCmd) error {
 	text, err := readFileOrStdin(c.File)
 	if err != nil {
@@ -120,7 +118,6 @@
 	With uint64 `help:"The version to compare with; by default the accepted one."`
 }
 
-// Run compares a file with a version.
 func (c *diffCmd) Run(e *runEnv, parent *configCmd) error {
 	text, err := readFileOrStdin(c.File)
 	if err != nil {
@@ -157,7 +154,6 @@
 	Version uint64 `arg:"" optional:"" help:"The version; by default the accepted one."`
 }
 
-// Run prints a version's text.
 func (c *showCmd) Run(e *runEnv, parent *configCmd) error {
 	ctx, client, closeClient, err := parent.connect(e)
 	if err != nil {
@@ -254,7 +250,6 @@
 	JSON   bool   `help:"Print the status as JSON."`
 }
 
-// Run prints the status of a front end.
 func (c *statusCmd) Run(e *runEnv) error {
 	ctx, cancel := context.WithTimeout(e.ctx, 5*time.Second)
 	defer cancel()
--- a/cmd/mallowlanding/emulate.go
+++ b/cmd/mallowlanding/emulate.go
@@ -101,7 +101,6 @@
 	Second string `arg:"" help:"Folder of the other experiment's results."`
 }
 
-// Run compares the results of two experiments.
 func (c *experimentCompareCmd) Run(e *runEnv) error {
 	first, err := experiment.Read(c.First)
 	if err != nil {
--- a/cmd/mallowlanding/main.go
+++ b/cmd/mallowlanding/main.go
@@ -55,7 +55,7 @@
 	Measure    measureCmd    `cmd:"" help:"Measure one front end with warm copies, and a client that calls the workers directly for comparison."`
 }
 
-// usageError is a fault of the command line or of a settings file.
+// usageError is an error in the command line or in a settings file.
 type usageError struct{ error }
 
 func main() {
@@ -147,7 +147,6 @@
 	Drain    time.Duration `default:"500ms" help:"How long the worker serves on after SIGTERM, draining, for front ends that learn of the drain late."`
 }
 
-// Run runs a stand-in worker.
 func (c *workerCmd) Run(e *runEnv) error {
 	w, err := settings.ReadWorker(c.Settings)
 	if err != nil {
@@ -160,7 +159,6 @@
 	Settings string `arg:"" help:"The roster's settings."`
 }
 
-// Run runs a stand-in roster.
 func (c *rosterCmd) Run(e *runEnv) error {
 	r, err := settings.ReadRoster(c.Settings)
 	if err != nil {
@@ -259,7 +257,6 @@
 	Dir string `required:"" name:"dir" short:"d" help:"Folder for sockets, settings and logs; created if it does not exist."`
 }
 
-// Run runs the demo.
 func (c *demoCmd) Run(e *runEnv) error { return demo.Run(e.ctx, c.Dir, e.stdout, e.log) }
 
 type rehearseCmd struct {
@@ -319,7 +316,6 @@
 
 type schemaCmd struct{}
 
-// Run prints the XML schema.
 func (c *schemaCmd) Run(e *runEnv) error {
 	_, err := e.stdout.Write(settings.Schema())
 	return err
--- a/cmd/mallowlanding/outage_worker_test.go
+++ b/cmd/mallowlanding/outage_worker_test.go
@@ -36,7 +36,7 @@
 	return w
 }
 
-// start stands for the start of the worker's process: it has no copies and does not drain.
+// start simulates the start of a worker process: the worker has no copies and does not drain.
 func (w *outageWorker) start() {
 	l, err := net.Listen("tcp", w.address)
 	if err != nil {
