--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -21,8 +21,9 @@
 	"mallowlanding/router"
 )
 
-// Set by the protocol: after these times a front end is taken to have received the changes that the service knew of,
-// even if it has not. The times run until a request that is sent later is answered.
+// Time limits of the protocol. Once one has passed after a failure, the front end counts as informed of the changes that
+// the service knew of then, even if it has not received them. A request that is sent after the failure and is answered
+// ends the time limit.
 const (
 	SilenceExpiry = 7 * time.Second // after the service has become unreachable
 	ReloadExpiry  = 4 * time.Second // after a reload that names another service
@@ -64,8 +65,8 @@
 // correct as of the time asOf, or as of an unknown time if asOf is zero. Calls do not overlap.
 type EventHandler func(events []Event, asOf time.Time)
 
-// ExpiryHandler is called when the front end counts as informed, from the time by on, of all that the service knew at
-// the time since, unless a request that is sent after since is answered.
+// ExpiryHandler is called after a failure. From the time by on, the front end counts as informed of all that the service
+// knew at the time since, unless a request that is sent after since is answered before.
 type ExpiryHandler func(since, by time.Time)
 
 // Feed follows a journal service, whose address may change.
@@ -179,7 +180,7 @@
 		f.mu.Lock()
 		f.conn = conn
 		f.mu.Unlock()
-		if f.moved(address) {
+		if f.addressChanged(address) {
 			f.dropConn(conn)
 			return nil
 		}
@@ -214,7 +215,7 @@
 	if err != nil || !reusable {
 		f.dropConn(conn)
 	}
-	if f.moved(address) || err != nil && f.takeRequestAgain() { // the feed itself closed the connection
+	if f.addressChanged(address) || err != nil && f.takeRequestAgain() { // the feed itself closed the connection
 		f.lastRequestOK = false
 		return nil
 	}
@@ -229,7 +230,7 @@
 // the new service reports the same events.
 func (f *Feed) handleResponse(address string, resp httpconn.Response, askedAt time.Time) error {
 	switch {
-	case f.moved(address):
+	case f.addressChanged(address):
 		return errors.New("the journal service's address has changed")
 	case resp.Status != http.StatusOK:
 		return fmt.Errorf("status %d", resp.Status)
@@ -237,8 +238,8 @@
 	return f.Apply(resp.Body, askedAt)
 }
 
-// moved reports whether the feed no longer follows the service at the address.
-func (f *Feed) moved(address string) bool {
+// addressChanged reports whether the feed no longer follows the service at the address.
+func (f *Feed) addressChanged(address string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.address != address
--- a/internal/httpconn/httpconn_test.go
+++ b/internal/httpconn/httpconn_test.go
@@ -38,8 +38,8 @@
 	return c.Exchange([]byte("GET / HTTP/1.1\r\n\r\n"), time.Now().Add(time.Second), testMaxBody)
 }
 
-// TestAnswers checks the result of complete, malformed, truncated and oversized responses.
-func TestAnswers(t *testing.T) {
+// TestResponses checks the result of complete, malformed, truncated and oversized responses.
+func TestResponses(t *testing.T) {
 	endless := make([]byte, 64<<10)
 	for i := range endless {
 		endless[i] = 'x'
--- a/internal/httplink/httplink.go
+++ b/internal/httplink/httplink.go
@@ -56,13 +56,13 @@
 
 // Dialer opens connections to workers.
 type Dialer interface {
-	Dial(ctx context.Context, address string, within time.Duration) (*httpconn.Conn, error)
+	Dial(ctx context.Context, address string, timeout time.Duration) (*httpconn.Conn, error)
 }
 
 type tcpDialer struct{}
 
-func (tcpDialer) Dial(ctx context.Context, address string, within time.Duration) (*httpconn.Conn, error) {
-	return httpconn.Dial(ctx, address, within)
+func (tcpDialer) Dial(ctx context.Context, address string, timeout time.Duration) (*httpconn.Conn, error) {
+	return httpconn.Dial(ctx, address, timeout)
 }
 
 // LinkSet holds a front end's links. Its methods may only be called in turns of the event loop, that is, on its
@@ -264,7 +264,7 @@
 
 // start sends a message on a connection that no other exchange uses. Its first byte is written by startBy, a time of
 // the event loop's clock, or never.
-func (l *Link) start(label string, message []byte, timeout time.Duration, startBy router.Time, onEnd func(e result)) *exchange {
+func (l *Link) start(label string, message []byte, timeout time.Duration, startBy router.Time, onEnd func(r result)) *exchange {
 	x := &exchange{link: l, options: l.set.options, label: label, message: message, deadline: time.Now().Add(timeout),
 		decidedAt: l.set.loop.Now(), startBy: startBy, onEnd: onEnd}
 	x.ctx, x.cancel = context.WithCancel(context.Background())
@@ -404,7 +404,7 @@
 	switch {
 	case errors.Is(r.err, errExpired):
 		return router.NotSent
-	case r.local, errors.Is(r.err, httpconn.ErrNotSent) && errors.Is(r.err, syscall.ECONNRESET): // each was reset
+	case r.local, errors.Is(r.err, httpconn.ErrNotSent) && errors.Is(r.err, syscall.ECONNRESET): // each connection was reset
 		return router.Full
 	case errors.Is(r.err, httpconn.ErrNotSent):
 		return router.ConnectFailed
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -43,7 +43,7 @@
 // The least resources that a front end can run with.
 const (
 	minSockets  = 48
-	minMemoryMB = 16 // MB
+	minMemoryMB = 16
 )
 
 // ConfigError is an error in a configuration; its text names the file, the place and the reason.
@@ -228,8 +228,8 @@
 	return thrift.Limits{MaxConnections: c.maxConnections(), MaxMemoryMB: c.maxMemoryMB()}
 }
 
-// minTurnInterval returns the least time between the starts of two turns of the event loop: the tick of the settings,
-// with which the router is driven elsewhere, too.
+// minTurnInterval returns the least time between the starts of two turns of the event loop: the tick of the settings, as
+// in the operators' simulator.
 func (c *Config) minTurnInterval() time.Duration {
 	return eventloop.ToDuration(router.Time(c.number(settingkeys.Tick)))
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -177,7 +177,7 @@
 		Msg("front end takes RPCs")
 
 	if f.log.GetLevel() <= zerolog.DebugLevel {
-		backgroundGroup.Go(func() error { f.logViews(background); return nil })
+		backgroundGroup.Go(func() error { f.logState(background); return nil })
 	}
 	for running := true; running; {
 		select {
@@ -246,8 +246,8 @@
 		Int("call_outs", rpc.CallOuts()).Msg("the router gave up on an RPC")
 }
 
-// logViews logs the router's state next to the connections' state once a second.
-func (f *FrontEnd) logViews(ctx context.Context) {
+// logState logs the router's state next to the connections' state once a second.
+func (f *FrontEnd) logState(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -191,11 +191,11 @@
 		case words[0] == "fleet":
 			s.addFleetEvent(words[1], s.workers[words[3]], words[4])
 		case words[0] == "knows":
-			many, err := strconv.Atoi(words[1])
+			want, err := strconv.Atoi(words[1])
 			s.must(err)
-			s.waitFor(func() bool { return s.readyWorkers() == many })
+			s.waitFor(func() bool { return s.readyWorkers() == want })
 		case words[0] == "confirmed":
-			s.waitFor(func() bool { view := s.workerView(); return view != "" && !strings.Contains(view, "U") })
+			s.waitFor(func() bool { workers := s.describeWorkers(); return workers != "" && !strings.Contains(workers, "U") })
 		case words[0] == "feed":
 			s.changeFeed(words[1])
 		case words[0] == "start":
@@ -305,8 +305,8 @@
 			if got := m.req.Method + " " + m.req.RequestURI; got != words[1]+" "+words[2] {
 				s.fail("got %s", got)
 			}
-			for _, head := range words[3:] {
-				name, value, _ := strings.Cut(head, "=")
+			for _, header := range words[3:] {
+				name, value, _ := strings.Cut(header, "=")
 				if got := m.req.Header.Get(name); got != value {
 					s.fail("%s is %q", name, got)
 				}
@@ -451,10 +451,10 @@
 
 // addFleetEvent adds an event with count workers, all at the address of one.
 func (s *runner) addFleetEvent(count string, at *worker, state string) {
-	many, err := strconv.Atoi(count)
+	n, err := strconv.Atoi(count)
 	s.must(err)
 	var list []any
-	for i := range many {
+	for i := range n {
 		list = append(list, s.workerEntry(fmt.Sprintf("fleet-%d", i), at, state))
 	}
 	s.addEvent(list)
@@ -583,13 +583,13 @@
 }
 
 // readyWorkers returns the number of workers that the router considers ready: its description has one field for each.
-func (s *runner) readyWorkers() int { return len(strings.Fields(s.workerView())) }
+func (s *runner) readyWorkers() int { return len(strings.Fields(s.describeWorkers())) }
 
-// workerView returns the workers' part of the router's description.
-func (s *runner) workerView() string {
-	view := make(chan string, 1)
-	s.frontEnd.loop.Post(func() { view <- s.frontEnd.engine.Describe() })
-	_, workers, _ := strings.Cut(<-view, ";")
+// describeWorkers returns the workers' part of the router's description.
+func (s *runner) describeWorkers() string {
+	description := make(chan string, 1)
+	s.frontEnd.loop.Post(func() { description <- s.frontEnd.engine.Describe() })
+	_, workers, _ := strings.Cut(<-description, ";")
 	return workers
 }
 
@@ -638,10 +638,10 @@
 }
 
 // frame encodes a Thrift message in a frame.
-func frame(name string, form wire.TMessageType, seq int32, args func(ctx context.Context, w wire.TProtocol)) []byte {
+func frame(name string, msgType wire.TMessageType, seq int32, args func(ctx context.Context, w wire.TProtocol)) []byte {
 	ctx, buf := context.Background(), wire.NewTMemoryBuffer()
 	w := wire.NewTBinaryProtocolConf(buf, nil)
-	_ = w.WriteMessageBegin(ctx, name, form, seq)
+	_ = w.WriteMessageBegin(ctx, name, msgType, seq)
 	args(ctx, w)
 	_ = w.WriteFieldStop(ctx)
 	return append(binary.BigEndian.AppendUint32(nil, uint32(buf.Len())), buf.Bytes()...)
--- a/internal/sockio/sockio.go
+++ b/internal/sockio/sockio.go
@@ -75,14 +75,14 @@
 }
 
 // PeerClosed reports whether the peer has closed the connection, even if bytes received before that are unread.
-func (s Socket) PeerClosed() (hungUp bool) {
+func (s Socket) PeerClosed() (closed bool) {
 	if s.raw == nil {
 		return false
 	}
 	err := s.raw.Control(func(fd uintptr) {
 		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 		n, err := unix.Poll(fds, 0)
-		hungUp = err == nil && n > 0
+		closed = err == nil && n > 0
 	})
-	return hungUp || err != nil
+	return closed || err != nil
 }
--- a/internal/thrift/codec.go
+++ b/internal/thrift/codec.go
@@ -224,6 +224,6 @@
 
 // Limits of the numbers in an RPC's fields, far above those that ordinary clients send.
 const (
-	maxBudgetMs = 600_000 // ms
+	maxBudgetMs = 600_000
 	maxLanes    = 1024
 )
--- a/internal/thrift/codec_test.go
+++ b/internal/thrift/codec_test.go
@@ -43,12 +43,12 @@
 		if (err == nil) != (h.calls == 1) || h.calls > 1 {
 			t.Fatalf("error %v, handler called %d times", err, h.calls)
 		}
-		kept := len(h.body)
+		got := len(h.body)
 		for k, v := range h.fields {
-			kept += len(k) + len(v)
+			got += len(k) + len(v)
 		}
-		if kept > len(frame) || len(h.fields) > maxFields {
-			t.Fatalf("got %d bytes and %d fields from a frame of %d bytes", kept, len(h.fields), len(frame))
+		if got > len(frame) || len(h.fields) > maxFields {
+			t.Fatalf("got %d bytes and %d fields from a frame of %d bytes", got, len(h.fields), len(frame))
 		}
 	})
 }
--- a/internal/thrift/conn.go
+++ b/internal/thrift/conn.go
@@ -239,7 +239,7 @@
 		case seq <= c.lastSeq || len(c.pendingBySeq) >= maxOpenRPCs: // number used before, or too many open RPCs
 			c.addOpenRPCs(-1)
 			c.server.options.Log.Debug().Str("client", c.netConn.RemoteAddr().String()).Int32("seq", seq).Int32("last", c.lastSeq).
-				Int("open", len(c.pendingBySeq)).Msg("client closed: sequence number used before, or too many open RPCs")
+				Int("open", len(c.pendingBySeq)).Msg("closing client connection: sequence number used before, or too many open RPCs")
 			c.shutDown()
 			c.netConn.Close()
 		case err != nil:
--- a/internal/thrift/server.go
+++ b/internal/thrift/server.go
@@ -34,7 +34,7 @@
 	firstMessageTimeout   = 2 * time.Second       // until a first message; silent clients must be closed within 3 s
 	messageTimeout        = 2 * time.Second       // from a message's first byte to its last
 	idleTimeout           = 6 * time.Second       // without an open RPC; clients close after 4 s themselves
-	writeTimeout          = 2 * time.Second       // without progress of a write, before the connection is closed
+	writeTimeout          = 2 * time.Second       // for a write of queued answers, before the connection is closed
 	maxUnsentBytes        = 1 << 20               // of answers to a slow reader, before its connection is closed
 	maxInvalidRPCs        = 3                     // in a row, before the connection is closed
 	invalidRPCPause       = 50 * time.Millisecond // before the next message is read after an invalid RPC
@@ -44,7 +44,7 @@
 	rpcIDRetention        = 5 * time.Second       // least time that an RPC's id is remembered; the most is twice that
 )
 
-// Server accepts clients' connections. Its last group of fields belongs to the event loop's goroutine.
+// Server accepts clients' connections.
 type Server struct {
 	options         Options
 	limits          atomic.Pointer[Limits]
@@ -54,6 +54,7 @@
 	mu              sync.Mutex
 	conns           map[*conn]bool
 
+	// The following fields belong to the event loop's goroutine.
 	now       router.Time
 	toFlush   []*conn                // connections with answers from this turn
 	recentIDs [2]map[uint64]*pending // RPCs by id, nil once finished; [1] holds those from before rotatedAt
@@ -69,9 +70,9 @@
 
 // UpdateSettings replaces the limits. Any goroutine may call it. If there are more connections than the new limit, idle
 // ones are closed at once.
-func (s *Server) UpdateSettings(b Limits) {
-	s.limits.Store(&b)
-	for left := int(s.openDescriptors.Load()); left > b.MaxConnections && s.closeOneIdle(); left-- {
+func (s *Server) UpdateSettings(limits Limits) {
+	s.limits.Store(&limits)
+	for left := int(s.openDescriptors.Load()); left > limits.MaxConnections && s.closeOneIdle(); left-- {
 	}
 }
 
@@ -104,7 +105,7 @@
 // StopAccepting makes Serve accept the connections in the listener's backlog and return. Closing the listener would
 // reset them.
 func StopAccepting(l net.Listener) {
-	if tcp, is := l.(*net.TCPListener); is && tcp.SetDeadline(time.Now().Add(closeTimeout)) == nil {
+	if tcp, ok := l.(*net.TCPListener); ok && tcp.SetDeadline(time.Now().Add(closeTimeout)) == nil {
 		return
 	}
 	l.Close()
--- a/internal/thrift/server_test.go
+++ b/internal/thrift/server_test.go
@@ -27,10 +27,10 @@
 }
 
 // BeginTurn implements eventloop.Handler.
-func (m loopHandler) BeginTurn(now router.Time) { m.server.BeginTurn(now); m.Engine.BeginTurn(now) }
+func (h loopHandler) BeginTurn(now router.Time) { h.server.BeginTurn(now); h.Engine.BeginTurn(now) }
 
 // EndTurn implements eventloop.Handler.
-func (m loopHandler) EndTurn() { m.Engine.EndTurn(); m.server.FlushTurn() }
+func (h loopHandler) EndTurn() { h.Engine.EndTurn(); h.server.FlushTurn() }
 
 // startServer starts a server without workers. The caller runs Serve and closes done once it has returned.
 func startServer(t *testing.T, limits Limits) (s *Server, l net.Listener, done chan bool) {
@@ -213,8 +213,8 @@
 	closedOne := make(chan bool, 1)
 	go func() { closedOne <- s.closeOneIdle() }()
 	select {
-	case is := <-closedOne:
-		if is {
+	case closed := <-closedOne:
+		if closed {
 			t.Fatal("closeOneIdle closed a connection with a byte unread")
 		}
 	case <-time.After(testTimeout):
