--- a/router/evidence.go
+++ b/router/evidence.go
@@ -64,7 +64,7 @@
 	}
 	r.pauseEnd = r.now
 	r.updateListValidity()
-	r.actions.Log(fmt.Sprintf("stood still for %d ms: the list is asked for anew", (r.now-r.lastDispatch)/ms))
+	r.actions.Log(fmt.Sprintf("process paused for %d ms: requesting the worker list again", (r.now-r.lastDispatch)/ms))
 	r.actions.SubscribeWorkers()
 }
 
@@ -118,7 +118,7 @@
 		w.idleRefusalAt = 0
 		// The worker was removed or drained and is back, so it has restarted.
 		if w.checkFailed {
-			r.actions.Log(fmt.Sprintf("worker %d passes its check again: taken for restarted", w.id))
+			r.actions.Log(fmt.Sprintf("worker %d passes its check again: assumed to have restarted", w.id))
 			w.resetForRestart(r.now)
 			w.checkFailed = false
 		}
@@ -169,12 +169,12 @@
 	}
 	r.listWasExpired = expired
 	if !expired {
-		r.actions.Log("the list is confirmed again")
+		r.actions.Log("worker list confirmed again")
 		return
 	}
 	age := "never confirmed"
 	if r.listAsOf > never {
 		age = fmt.Sprintf("confirmed %d ms ago", (r.now-r.listAsOf)/ms)
 	}
-	r.actions.Log(fmt.Sprintf("the list is too old, %s: each worker needs evidence of its own, checks allowed: %t", age, r.settings.enabled("may.check")))
+	r.actions.Log(fmt.Sprintf("worker list too old, %s: each worker needs evidence of its own, checks allowed: %t", age, r.settings.enabled("may.check")))
 }
--- a/router/health.go
+++ b/router/health.go
@@ -40,7 +40,7 @@
 			p.method.runTime += (min(float64(took), 4*p.method.runTime) - p.method.runTime) / 64
 		}
 		if w.symptom != "" && w.slowness <= unhealthySlowness*r.medianSlowness && w.errorRate <= unhealthyErrorRate {
-			r.actions.Log(fmt.Sprintf("worker %d well after %s: slow %.1f errors %.2f", w.id, w.symptom, w.slowness, w.errorRate))
+			r.actions.Log(fmt.Sprintf("worker %d healthy again after %s: slowness %.1f, error rate %.2f", w.id, w.symptom, w.slowness, w.errorRate))
 			w.symptom, w.unhealthyPause, w.trialAllowed = "", 0, false
 		} else if w.symptom == "" && w.slowness > unhealthySlowness*r.medianSlowness {
 			w.markUnhealthy(r, "slowness", w.slowness)
@@ -115,7 +115,7 @@
 // RPC try the worker.
 func (w *worker) markUnhealthy(r *Router, symptom string, value float64) {
 	if w.symptom == "" {
-		r.actions.Log(fmt.Sprintf("worker %d ill: %s %.2f, %d out", w.id, symptom, value, w.inFlight))
+		r.actions.Log(fmt.Sprintf("worker %d unhealthy: %s %.2f, %d in flight", w.id, symptom, value, w.inFlight))
 	}
 	w.symptom, w.trialAllowed = symptom, false
 	w.unhealthyPause = min(max(2*w.unhealthyPause, minUnhealthyPause), maxUnhealthyPause)
@@ -163,7 +163,7 @@
 	// If most workers look unhealthy, the cause is elsewhere.
 	if ignore := 2*unhealthy > ready; ignore != r.ignoreHealth {
 		r.ignoreHealth = ignore
-		r.actions.Log(fmt.Sprintf("%d of %d workers look ill, health ignored: %t", unhealthy, ready, ignore))
+		r.actions.Log(fmt.Sprintf("%d of %d workers look unhealthy, health ignored: %t", unhealthy, ready, ignore))
 	}
 }
 
