--- a/internal/admission/limits_test.go
+++ b/internal/admission/admission_test.go
@@ -10,7 +10,7 @@
 	"mallowlanding/router"
 )
 
-// TestScenarios runs the scenarios of testdata/gate.txt. Each starts with a line '== NAME' and has one step a line:
+// TestScenarios runs the scenarios of testdata/scenarios.txt. Each starts with a line '== NAME' and has one step a line:
 //
 //	gate NAME=N ...              makes a queue; the settings are whole, whole-bytes, peer, peer-bytes, conn, conn-bytes
 //	                             (limits of RPCs and bytes), held (MaxRouterQueued) and come-back (MaxRetryAfter, in ms)
@@ -25,7 +25,7 @@
 //	done RPC                     the RPC is answered
 //	waiting N                    the number of RPCs that wait for admission
 func TestScenarios(t *testing.T) {
-	text, err := os.ReadFile("testdata/gate.txt")
+	text, err := os.ReadFile("testdata/scenarios.txt")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -9,7 +9,7 @@
 	"mallowlanding/router"
 )
 
-// TestScenarios runs the scenarios of testdata/lines.txt. Each starts with a line '== NAME' and has one step a line,
+// TestScenarios runs the scenarios of testdata/scenarios.txt. Each starts with a line '== NAME' and has one step a line,
 // with times in ms:
 //
 //	add KEY ITEM most=N wait=MS soft=MS
@@ -19,7 +19,7 @@
 //	leaves ITEM ...       the batch that the last add returned, or that is due now; '-': none
 //	due MS                when the next batch is due; '-': none is waiting
 func TestScenarios(t *testing.T) {
-	text, err := os.ReadFile("testdata/lines.txt")
+	text, err := os.ReadFile("testdata/scenarios.txt")
 	if err != nil {
 		t.Fatal(err)
 	}
