--- a/internal/access/access.go
+++ b/internal/access/access.go
@@ -1,5 +1,5 @@
-// Package access decides which methods and customers a peer may use, by the user and group id of its process. It does no
-// I/O.
+// Package access decides which methods and customers a peer may use, by the user and group id of its process. It does
+// no I/O.
 package access
 
 import (
@@ -14,10 +14,10 @@
 	Customers []string // empty: all
 }
 
-// Rules are applied in order. An empty list gives all peers full access.
+// Rules are tried in order; the first one that matches a peer applies. An empty list gives all peers full access.
 type Rules []Rule
 
-// Permissions are those of one peer, given by the first rule that matches it.
+// Permissions are those of one peer.
 type Permissions struct {
 	peer string // its ids, for errors
 	rule *Rule  // nil: no restrictions
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -56,14 +56,14 @@
 	total          usage
 	peers          map[PeerID]*usage
 	ready          []*Conn // connections with an eligible ticket, in round-robin order
-	waitingConns   []*Conn // connections with waiting tickets, and some whose tickets are gone; see prune
+	waitingConns   []*Conn // connections with waiting tickets, and some that no longer have any; see prune
 	waiting        int
 	lastSeq        uint64
 	answerInterval float64 // moving average of the time between answers, in units of router.Time
 	lastAnswer     router.Time
 }
 
-// usage counts the open RPCs and payload bytes of a connection, a peer or the front end.
+// usage is the number of open RPCs, and of their payload bytes, of a connection, a peer or the front end.
 type usage struct {
 	rpcs  int
 	bytes int64
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -10,7 +10,8 @@
 	"mallowlanding/router"
 )
 
-// TestScenarios runs the scenarios of testdata/scenarios.txt. Each starts with a line '== NAME' and has one step a line:
+// TestScenarios runs the scenarios of testdata/scenarios.txt. Each starts with a line '== NAME' and has one step a
+// line:
 //
 //	gate NAME=N ...              makes a queue; the settings are whole, whole-bytes, peer, peer-bytes, conn, conn-bytes
 //	                             (limits of RPCs and bytes), held (MaxRouterQueued) and come-back (MaxRetryAfter, in ms)
@@ -140,8 +141,8 @@
 	return n
 }
 
-// BenchmarkGate measures the admission of one RPC while another connection has nearly ten thousand RPCs waiting.
-func BenchmarkGate(b *testing.B) {
+// BenchmarkAdmission measures the admission of one RPC while another connection has nearly ten thousand RPCs waiting.
+func BenchmarkAdmission(b *testing.B) {
 	q := New(Settings{MaxRouterQueued: 16})
 	busy, single := q.OpenConn(1), q.OpenConn(2)
 	for range 10000 {
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -28,7 +28,7 @@
 // retryPause is the pause before an RPC that never ran is sent again: 20 ms.
 const retryPause = 20 * 10
 
-// Factory returns the factory of a policy. It is nil for an empty name and for "module", which stand for router.Router.
+// Factory returns the factory of a policy. It is nil, which means router.Router, for an empty name and for "module".
 func Factory(name string, actual ActualState) (routing.Factory, error) {
 	if name == "" || name == "module" {
 		return nil, nil
@@ -70,8 +70,8 @@
 	retryAfter    router.Time
 	workers       map[router.WorkerID]*worker
 	sortedWorkers []*worker // by id
-	nextIndex     int       // of round robin
-	idle          []*worker // that became idle, oldest first
+	lastIndex     int       // index of the worker that round robin used last
+	idle          []*worker // workers that became idle, the earliest first
 	waiting       map[uint64]*rpc
 	lastToken     uint64
 	now           router.Time
@@ -282,8 +282,8 @@
 	case "random":
 		return randomWorker()
 	case "round-robin":
-		p.nextIndex++
-		return eligible[p.nextIndex%len(eligible)]
+		p.lastIndex++
+		return eligible[p.lastIndex%len(eligible)]
 	case "least-out":
 		return leastLoaded(eligible)
 	case "power-of-two":
--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -13,7 +13,7 @@
 // for transport, queueing at the worker and execution.
 const softDeadlineDivisor = 8
 
-// Batcher holds the RPCs that wait in batches, one batch for each key, which stands for a worker and a function.
+// Batcher holds the RPCs that wait in batches, one batch for each key. A key identifies a worker and a function.
 type Batcher[Key, Item comparable] struct {
 	batches map[Key]*pending[Item]
 	order   []Key // of batches, in the order in which they were begun
@@ -32,8 +32,8 @@
 }
 
 // Add adds an RPC to the batch of its key, which holds at most maxItems RPCs. The RPC waits no longer than wait, and no
-// longer than an eighth of softLeft, the time left to its soft deadline. Add returns the batch if it is full or due now,
-// and nil otherwise.
+// longer than an eighth of softLeft, the time left to its soft deadline. Add returns the batch if it is full or due
+// now, and nil otherwise.
 func (b *Batcher[Key, Item]) Add(now router.Time, key Key, item Item, maxItems int, wait, softLeft router.Time) []Item {
 	due := now + max(0, min(wait, softLeft/softDeadlineDivisor))
 	p := b.batches[key]
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -9,8 +9,8 @@
 	"mallowlanding/router"
 )
 
-// TestScenarios runs the scenarios of testdata/scenarios.txt. Each starts with a line '== NAME' and has one step a line,
-// with times in ms:
+// TestScenarios runs the scenarios of testdata/scenarios.txt. Each starts with a line '== NAME' and has one step a
+// line, with times in ms:
 //
 //	add KEY ITEM most=N wait=MS soft=MS
 //	                      adds an item: maxItems, wait and softLeft of Batcher.Add
--- a/internal/dedup/dedup.go
+++ b/internal/dedup/dedup.go
@@ -1,6 +1,6 @@
-// Package dedup decides what happens to a tokened RPC that arrives while another of the same token is open at this front
-// end: if both are the same request, the second joins the first and gets its answer; if not, it is refused. The package
-// does no I/O and has no clock.
+// Package dedup decides what happens to a tokened RPC that arrives while another of the same token is open at this
+// front end: if both are the same request, the second joins the first and gets its answer; if not, it is refused. The
+// package does no I/O and has no clock.
 //
 // Joining saves a second call-out, which the worker would recognize as a repeat by its own record of tokens. Between
 // front ends only the workers' record recognizes repeats, within the method's group and window.
@@ -45,8 +45,8 @@
 	return &Tracker[Waiter]{seed: maphash.MakeSeed(), rpcs: map[Key]*SharedRPC[Waiter]{}}
 }
 
-// Add adds an RPC for the waiter w. The open RPC of its key is the same one if its function and the parts of its payload
-// are equal, compared by a hash.
+// Add adds an RPC for the waiter w. The open RPC of its key is the same one if its function and the parts of its
+// payload are equal, compared by a hash.
 func (t *Tracker[Waiter]) Add(key Key, function string, w Waiter, payload ...[]byte) (*SharedRPC[Waiter], Decision) {
 	var hash maphash.Hash
 	hash.SetSeed(t.seed)
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -104,9 +104,9 @@
 	return d
 }
 
-// UpdateSettings replaces the service and the limits, within a turn. Methods and customers keep their indexes; a removed
-// one keeps its index for the RPCs that use it. A request still waiting for admission is subject to the new settings,
-// and rejected if they don't allow it.
+// UpdateSettings replaces the service and the limits, within a turn of the event loop. Methods and customers keep their
+// indexes; a removed one keeps its index for the RPCs that use it. A request still waiting for admission is subject to
+// the new settings, and rejected if they don't allow it.
 func (d *Dispatcher) UpdateSettings(s *Service, limits admission.Settings) {
 	d.service.Store(s)
 	d.queue.UpdateSettings(limits)
@@ -145,8 +145,8 @@
 // BeginTurn sets the time of a turn of the event loop.
 func (d *Dispatcher) BeginTurn(now router.Time) { d.now = now }
 
-// Admit submits to the engine the requests that the admission queue lets through. It is called after a turn's events and
-// before Engine.EndTurn.
+// Admit submits to the engine the requests that the admission queue lets through. It is called after a turn's events
+// and before Engine.EndTurn.
 func (d *Dispatcher) Admit() {
 	d.timers.Fire(d.now)
 	for ticket := d.queue.Next(); ticket != nil; ticket = d.queue.Next() {
@@ -331,12 +331,12 @@
 	case r.execution.removeWaiter(r):
 		r.execution.shared, r.execution.leader = nil, r // the answer goes to this request
 		r.execution.rpc.Cancel()
-	default: // other requests wait for the same RPC, which goes on
+	default: // other requests wait for the same RPC, which continues
 		r.stopWaiting()
 	}
 }
 
-// Abandon ends the request without an answer. Other requests of the connection go on.
+// Abandon ends the request without an answer. Other requests of the connection are not affected.
 func (r *Request) Abandon() {
 	if r.Finished() {
 		return
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -34,7 +34,7 @@
 // whose connection breaks ends everything in flight on it: see Engine.CallOutEnded, LoadOrderEnded and CheckEnded.
 type Link interface {
 	// Send sends a call-out of an RPC whose client waits for left from now on. A call-out of which no byte has been sent
-	// by the time sendBy is not sent any more and ends as router.NotSent. The same holds for a load order.
+	// by the time sendBy is not sent any more and ends as router.NotSent. The same applies to a load order.
 	Send(id CallOutID, rpc *RPC, left, sendBy router.Time)
 	CancelCallOut(id CallOutID)
 	CancelLoadOrder(id OrderID) // no RPC needs the load any more
@@ -49,7 +49,7 @@
 	CheckID   uint64
 )
 
-// Method holds the settings of a method that the engine and the links use.
+// Method has the settings of a method that the engine and the links use.
 type Method struct {
 	Name         string
 	Effect       string
@@ -63,7 +63,7 @@
 	Removed      bool  // no longer in the settings; only RPCs submitted before still use it
 }
 
-// FunctionSpec holds the settings of a function's copies.
+// FunctionSpec has the settings of a function's copies.
 type FunctionSpec struct {
 	MemoryMB float64 // of one copy
 	Lanes    int     // RPCs that one copy runs at the same time
@@ -188,7 +188,7 @@
 	Log          func(text string)                 // receives the router's log lines
 	NewRouter    routing.Factory                   // nil: router.New
 	CancelWait   router.Time                       // how long workers may take to report the end of a cancelled call-out
-	Subscribe    func()                            // asks for changes of the worker list; nil: they come unasked
+	Subscribe    func()                            // requests changes of the worker list; nil: they arrive anyway
 	OnGiveUp     func(rpc *RPC, why router.Reason) // called when the router denies or aborts an RPC; may be nil
 }
 
@@ -321,13 +321,14 @@
 	return r
 }
 
-// IDCollision returns the other known function whose name has the same id as this one, if there is one.
+// IDCollision returns the other known function whose name has the same id as this function's, if there is one.
 func (e *Engine) IDCollision(function string) (other string, collides bool) {
 	known, ok := e.functions[nameid.Function(function)]
 	return known.name, ok && known.name != function
 }
 
-// LoadsHalted reports whether loads of a function are halted and no copy of it is known to be loaded; see router.Router.
+// LoadsHalted reports whether loads of a function are halted and no copy of it is known to be loaded; see
+// router.Router.
 func (e *Engine) LoadsHalted(function string) bool {
 	return e.router.LoadsHalted(nameid.Function(function))
 }
@@ -374,7 +375,7 @@
 // CallOuts returns the number of the RPC's call-outs so far.
 func (r *RPC) CallOuts() int { return len(r.callOuts) }
 
-// RetryHarmless reports whether a client that stops waiting for the RPC now may be told that a retry is harmless.
+// RetryHarmless reports whether a retry is harmless for a client that stops waiting for the RPC now.
 func (r *RPC) RetryHarmless() bool { return r.cancelState.VerdictOnTimeout() == cancellation.Deny }
 
 // cancelOutstanding has the router make no further call-out, and cancels the call-outs in flight and the load orders
@@ -430,8 +431,8 @@
 }
 
 // CallOutEnded records how a call-out ended, by the worker's answer or at the link. Result is the worker's result for
-// router.OK and an error text otherwise. A call-out that is unknown, has ended, or belongs to another worker is ignored,
-// and false returned.
+// router.OK and an error text otherwise. CallOutEnded ignores a call-out that is unknown, has ended, or belongs to
+// another worker, and returns false.
 func (e *Engine) CallOutEnded(id CallOutID, w router.WorkerID, outcome router.Outcome, warmth router.Warmth,
 	otherRPCs int, report []float64, result, blob []byte) bool {
 	r, n := e.rpcs[router.RPCID(id>>8)], int(id&0xff)
@@ -564,8 +565,8 @@
 	if r == nil { // a fault of the router: the RPC has ended
 		return
 	}
-	n, wk := len(r.callOuts), e.workers[w]
-	r.callOuts = append(r.callOuts, callOut{worker: wk, sentAt: e.now})
+	n, target := len(r.callOuts), e.workers[w]
+	r.callOuts = append(r.callOuts, callOut{worker: target, sentAt: e.now})
 	r.cancelState.CallOutSent()
 	if r.inFlight++; r.inFlight == 1 && !r.closed {
 		r.client.QueuedChanged(false)
@@ -577,9 +578,9 @@
 		e.deferred = append(e.deferred, func() {
 			e.CallOutEnded(id, w, router.NotSent, router.WarmthUnknown, 0, nil, nil, nil)
 		})
-	case wk.link == nil:
+	case target.link == nil:
 		e.deferred = append(e.deferred, func() {
-			e.CallOutEnded(id, w, router.ConnectFailed, router.WarmthUnknown, 0, nil, []byte("no link to "+wk.name), nil)
+			e.CallOutEnded(id, w, router.ConnectFailed, router.WarmthUnknown, 0, nil, []byte("no link to "+target.name), nil)
 		})
 	default:
 		e.counts.CallOuts++
@@ -587,7 +588,7 @@
 		if limit > 0 { // the link then times out by itself
 			left = min(left, limit)
 		}
-		wk.link.Send(id, r, left, sendBy)
+		target.link.Send(id, r, left, sendBy)
 		if limit > 0 && e.now+limit < r.expiresAt {
 			e.timers.Set(new(eventloop.Timer), e.now+limit, func(router.Time) {
 				e.CallOutEnded(id, w, router.TimedOut, router.WarmthUnknown, 0, nil, nil, nil)
@@ -645,32 +646,32 @@
 
 // Check implements router.Actions.
 func (a *actions) Check(w router.WorkerID) {
-	e, wk := (*Engine)(a), a.workers[w]
+	e, target := (*Engine)(a), a.workers[w]
 	e.lastID++
 	id := CheckID(e.lastID)
-	c := &check{worker: wk, sentAt: e.now}
+	c := &check{worker: target, sentAt: e.now}
 	e.checks[id] = c
 	e.counts.Checks++
-	if wk.link == nil {
+	if target.link == nil {
 		e.deferred = append(e.deferred, func() { e.CheckEnded(id, router.ConnectFailed, nil) })
 		return
 	}
 	e.timers.Set(&c.timeout, e.now+e.orderTimeout, func(router.Time) { e.CheckEnded(id, router.TimedOut, nil) })
-	wk.link.Check(id)
+	target.link.Check(id)
 }
 
 // OrderLoad implements router.Actions.
 func (a *actions) OrderLoad(w router.WorkerID, fn router.FunctionID, n int, sendBy router.Time) {
-	e, wk := (*Engine)(a), a.workers[w]
+	e, target := (*Engine)(a), a.workers[w]
 	e.lastID++
 	id := OrderID(e.lastID)
-	o := &order{worker: wk, fn: fn, sentAt: e.now}
+	o := &order{worker: target, fn: fn, sentAt: e.now}
 	e.orders[id] = o
 	if n > 0 {
 		e.counts.Orders++
 		e.demand.OrderSent(fn, id)
 	}
-	if wk.link == nil {
+	if target.link == nil {
 		e.deferred = append(e.deferred, func() { e.LoadOrderEnded(id, router.ConnectFailed, 0) })
 		return
 	}
@@ -678,7 +679,7 @@
 	f := e.functions[fn]
 	f.lastUsed = e.now
 	e.functions[fn] = f
-	wk.link.OrderLoad(id, f.name, f.spec, n, sendBy)
+	target.link.OrderLoad(id, f.name, f.spec, n, sendBy)
 }
 
 // SubscribeWorkers implements router.Actions.
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -24,106 +24,106 @@
 }
 
 // Submit implements routing.Router.
-func (m *scriptedRouter) Submit(_ router.Time, id router.RPCID, _ router.MethodID, _ router.CustomerID, _ router.FunctionID,
+func (r *scriptedRouter) Submit(_ router.Time, id router.RPCID, _ router.MethodID, _ router.CustomerID, _ router.FunctionID,
 	_ router.Time, _, _ float64, _ int, _ router.Time, _ bool) routing.Handle {
-	m.actions.Send(id, 1, 0, math.MaxInt64)
-	return &scriptedRPC{router: m}
+	r.actions.Send(id, 1, 0, math.MaxInt64)
+	return &scriptedRPC{router: r}
 }
 
 // CallOutEnded implements routing.Handle.
-func (h *scriptedRPC) CallOutEnded(_ router.Time, _ int, _ router.WorkerID, o router.Outcome, closed bool, _ router.Warmth, _ int,
+func (p *scriptedRPC) CallOutEnded(_ router.Time, _ int, _ router.WorkerID, o router.Outcome, closed bool, _ router.Warmth, _ int,
 	_ router.Time, _ []float64) {
-	h.router.outcomes = append(h.router.outcomes, o)
-	h.finished = closed
+	p.router.outcomes = append(p.router.outcomes, o)
+	p.finished = closed
 }
 
 // ClientLeft implements routing.Handle.
-func (h *scriptedRPC) ClientLeft(router.Time) { h.finished = true }
+func (p *scriptedRPC) ClientLeft(router.Time) { p.finished = true }
 
 // Finished implements routing.Handle.
-func (h *scriptedRPC) Finished() bool { return h.finished }
+func (p *scriptedRPC) Finished() bool { return p.finished }
 
 // BeginWorkerList implements routing.Router. This method and those below do nothing.
-func (m *scriptedRouter) BeginWorkerList(router.Time, router.ListUpdate, uint64) {}
+func (r *scriptedRouter) BeginWorkerList(router.Time, router.ListUpdate, uint64) {}
 
 // AddListedWorker implements routing.Router.
-func (m *scriptedRouter) AddListedWorker(router.Time, router.WorkerID, router.Readiness, router.Time, router.ZoneID, router.CellID,
+func (r *scriptedRouter) AddListedWorker(router.Time, router.WorkerID, router.Readiness, router.Time, router.ZoneID, router.CellID,
 	router.KindID, float64) {
 }
 
 // EndWorkerList implements routing.Router.
-func (m *scriptedRouter) EndWorkerList(router.Time)        {}
+func (r *scriptedRouter) EndWorkerList(router.Time)        {}
 func (*scriptedRouter) ConfirmWorkerList(_, _ router.Time) {}
 
 // LoadOrderEnded implements routing.Router.
-func (m *scriptedRouter) LoadOrderEnded(router.Time, router.WorkerID, router.FunctionID, router.Outcome, int, router.Time) {
+func (r *scriptedRouter) LoadOrderEnded(router.Time, router.WorkerID, router.FunctionID, router.Outcome, int, router.Time) {
 }
 
 // CheckEnded implements routing.Router.
-func (m *scriptedRouter) CheckEnded(router.Time, router.WorkerID, router.Outcome, router.Time, []float64) {
+func (r *scriptedRouter) CheckEnded(router.Time, router.WorkerID, router.Outcome, router.Time, []float64) {
 }
 
 // TimerFired implements routing.Router.
-func (m *scriptedRouter) TimerFired(router.Time, uint64) {}
+func (r *scriptedRouter) TimerFired(router.Time, uint64) {}
 
 // UpdateSettings implements routing.Router.
-func (m *scriptedRouter) UpdateSettings(router.Time, router.ParsedSettings) {}
+func (r *scriptedRouter) UpdateSettings(router.Time, router.ParsedSettings) {}
 
 // LoadsHalted implements routing.Router.
-func (m *scriptedRouter) LoadsHalted(router.FunctionID) bool { return false }
+func (r *scriptedRouter) LoadsHalted(router.FunctionID) bool { return false }
 
 // Dispatch implements routing.Router.
-func (m *scriptedRouter) Dispatch(router.Time) {}
+func (r *scriptedRouter) Dispatch(router.Time) {}
 
 // recorder is a Client and a Link that records its calls as text.
 type recorder []string
 
 // OK implements Client.
-func (n *recorder) OK(result, _ []byte) { *n = append(*n, "ok "+string(result)) }
+func (r *recorder) OK(result, _ []byte) { *r = append(*r, "ok "+string(result)) }
 
 // Denied implements Client.
-func (n *recorder) Denied(router.Time) { *n = append(*n, "denied") }
+func (r *recorder) Denied(router.Time) { *r = append(*r, "denied") }
 
 // Aborted implements Client.
-func (n *recorder) Aborted(string) { *n = append(*n, "aborted") }
+func (r *recorder) Aborted(string) { *r = append(*r, "aborted") }
 
 // QueuedChanged implements Client.
-func (n *recorder) QueuedChanged(bool) {}
+func (r *recorder) QueuedChanged(bool) {}
 
 // Send implements Link.
-func (n *recorder) Send(id CallOutID, _ *RPC, _, _ router.Time) {
-	*n = append(*n, fmt.Sprint("send ", id))
+func (r *recorder) Send(id CallOutID, _ *RPC, _, _ router.Time) {
+	*r = append(*r, fmt.Sprint("send ", id))
 }
 
 // CancelCallOut implements Link.
-func (n *recorder) CancelCallOut(id CallOutID) { *n = append(*n, fmt.Sprint("call off ", id)) }
+func (r *recorder) CancelCallOut(id CallOutID) { *r = append(*r, fmt.Sprint("call off ", id)) }
 
 // CancelLoadOrder implements Link.
-func (n *recorder) CancelLoadOrder(OrderID) {}
+func (r *recorder) CancelLoadOrder(OrderID) {}
 
 // OrderLoad implements Link.
-func (n *recorder) OrderLoad(OrderID, string, FunctionSpec, int, router.Time) {}
+func (r *recorder) OrderLoad(OrderID, string, FunctionSpec, int, router.Time) {}
 
 // Check implements Link.
-func (n *recorder) Check(CheckID) {}
+func (r *recorder) Check(CheckID) {}
 
 // newTestEngine returns an engine with a scriptedRouter and the one worker it sends to.
-func newTestEngine(now router.Time) (e *Engine, m *scriptedRouter, link *recorder) {
-	m, link = &scriptedRouter{}, &recorder{}
+func newTestEngine(now router.Time) (e *Engine, scripted *scriptedRouter, link *recorder) {
+	scripted, link = &scriptedRouter{}, &recorder{}
 	e = New(Options{Settings: router.Settings{"may.call-outs": 3., "may.overlap": true}, Now: now, Log: func(string) {},
-		NewRouter: func(port router.Actions, _ router.Time, _ int64, _ router.Settings) routing.Router {
-			m.actions = port
-			return m
+		NewRouter: func(actions router.Actions, _ router.Time, _ int64, _ router.Settings) routing.Router {
+			scripted.actions = actions
+			return scripted
 		}})
 	w := e.ensureWorker("w")
 	delete(e.workers, w.id)
 	w.id, w.link = 1, link
 	e.workers[1] = w
-	return e, m, link
+	return e, scripted, link
 }
 
-// TestAnswerAll checks that each open RPC gets exactly one answer, denied only where a retry is harmless, that call-outs
-// in flight are cancelled, and that results arriving later are not passed on.
+// TestAnswerAll checks that each open RPC gets exactly one answer, denied only where a retry is harmless, that
+// call-outs in flight are cancelled, and that results arriving later are not passed on.
 func TestAnswerAll(t *testing.T) {
 	e, _, link := newTestEngine(1000)
 	var got [3]recorder
@@ -155,7 +155,7 @@
 // the same turn, in either order.
 func TestAnswerAndTimeoutInOneTurn(t *testing.T) {
 	for _, answerFirst := range []bool{true, false} {
-		e, m, _ := newTestEngine(1000)
+		e, scripted, _ := newTestEngine(1000)
 		var got recorder
 		p := e.Submit(0, &Method{Name: "m", Effect: router.SideEffecting, Deadline: 1000}, 0, "f", FunctionSpec{}, "", 500, false, nil, nil, &got)
 		id := CallOutID(uint64(p.id) << 8)
@@ -176,8 +176,8 @@
 		if answerFirst {
 			want = []router.Outcome{router.OK}
 		}
-		if !slices.Equal(m.outcomes, want) || answerFirst != slices.Equal(got, recorder{"ok a"}) {
-			t.Errorf("answer first %t: the router got %v, the client %v", answerFirst, m.outcomes, got)
+		if !slices.Equal(scripted.outcomes, want) || answerFirst != slices.Equal(got, recorder{"ok a"}) {
+			t.Errorf("answer first %t: the router got %v, the client %v", answerFirst, scripted.outcomes, got)
 		}
 	}
 }
@@ -185,11 +185,11 @@
 // TestNothingSentAfterClientLeft checks that no call-out of an RPC is sent once its client has left, even if the router
 // asks for one.
 func TestNothingSentAfterClientLeft(t *testing.T) {
-	e, m, link := newTestEngine(1000)
+	e, scripted, link := newTestEngine(1000)
 	var got recorder
 	p := e.Submit(0, &Method{Name: "m", Effect: router.Idempotent, Deadline: 1000}, 0, "f", FunctionSpec{}, "", 500, false, nil, nil, &got)
 	p.ClientLeft()
-	m.actions.Send(p.id, 1, 0, math.MaxInt64)
+	scripted.actions.Send(p.id, 1, 0, math.MaxInt64)
 	e.BeginTurn(1001)
 	e.EndTurn()
 	if want := (recorder{"send 256", "call off 256"}); !slices.Equal(*link, want) || len(got) > 0 {
--- a/internal/eventloop/eventloop.go
+++ b/internal/eventloop/eventloop.go
@@ -1,5 +1,5 @@
-// Package eventloop provides an event loop and timers for state machines. Loop runs all events of a state machine on one
-// goroutine, in turns: one turn handles every event that arrived since the last one.
+// Package eventloop provides an event loop and timers for state machines. Loop runs all events of a state machine on
+// one goroutine, in turns: one turn handles every event that arrived since the last one.
 //
 // Timers has no clock of its own, so that the same state machine runs on the real clock, driven by Loop, and on the
 // clock of a simulation.
@@ -130,8 +130,8 @@
 // Now reads the loop's clock. Any goroutine may call it.
 func (l *Loop) Now() router.Time { return startTime + FromDuration(time.Since(l.start)) }
 
-// Post has f called in the next turn. It does not block, and any goroutine may call it. It returns false if the loop has
-// ended and f will never be called.
+// Post has f called in the next turn. It does not block, and any goroutine may call it. It returns false if the loop
+// has ended and f will never be called.
 func (l *Loop) Post(f func()) bool {
 	l.mu.Lock()
 	if l.stopped {
--- a/internal/nameid/nameid.go
+++ b/internal/nameid/nameid.go
@@ -1,6 +1,6 @@
-// Package nameid derives the ids of functions and workers from their names. The ids must be the same at every front end:
-// the router prefers workers for a function by a hash of both ids, so that front ends choose the same workers without
-// exchanging any state.
+// Package nameid derives the ids of functions and workers from their names. The ids must be the same at every front
+// end: the router prefers workers for a function by a hash of both ids, so that front ends choose the same workers
+// without exchanging any state.
 package nameid
 
 import (
--- a/internal/nameid/nameid_test.go
+++ b/internal/nameid/nameid_test.go
@@ -8,8 +8,8 @@
 	"mallowlanding/router"
 )
 
-// TestIDs checks that ids never change: front ends of different builds must agree on them. The values for "" and "a" are
-// published test vectors of XXH64.
+// TestIDs checks that ids never change: front ends of different builds must agree on them. The values for "" and "a"
+// are published test vectors of XXH64.
 func TestIDs(t *testing.T) {
 	if Function("") != 0xef46db3751d8e999 || Function("a") != 0xd24ec4f1a98c6e5b || Worker("a") != 0xd24ec4f1 {
 		t.Errorf("got %x %x %x", Function(""), Function("a"), Worker("a"))
--- a/internal/settingkeys/settingkeys.go
+++ b/internal/settingkeys/settingkeys.go
@@ -10,8 +10,8 @@
 	FrontEnds = "front-ends"
 	Me        = "me" // index of this front end
 	Zone      = "zone"
-	Tick      = "tick"
-	List      = "list"
+	Tick      = "tick" // least time between the starts of two turns of the event loop
+	List      = "list" // how the worker list arrives: Pushed or Asked
 	GainBy    = "gain-by"
 	OverShare = "over-share-gain"
 
@@ -22,7 +22,7 @@
 	CallOuts       = "call-outs"
 	ComeBack       = "come-back" // longest time to retry after in a denial
 	Advise         = "advise"    // whether clients receive that time
-	Overlap        = "overlap"
+	Overlap        = "overlap"   // whether several call-outs of an RPC may be in flight at the same time
 	Open           = "open"
 	IdleClose      = "idle-close"
 	Tell           = "tell"
@@ -64,7 +64,7 @@
 	Window       = "window"
 
 	Report = "report"
-	Values = "values"
+	Values = "values" // the names of the values in a worker's report, in order
 	How    = "how"
 
 	Rules        = "rules"
@@ -80,15 +80,15 @@
 
 // Values of settings.
 const (
-	Pushed  = "pushed"
-	Asked   = "asked"
-	InHand  = "in-hand"
+	Pushed  = "pushed"  // the list and its changes arrive without a request
+	Asked   = "asked"   // the list and its changes arrive once they are requested
+	InHand  = "in-hand" // this and those below: values in a worker's report
 	Waiting = "waiting"
-	Util    = "util"
+	Util    = "util" // share of the cores in use
 	Latency = "latency"
 	Served  = "served"
 	Errors  = "errors"
-	Pinned  = "pinned"
+	Pinned  = "pinned" // share of the memory that cannot be freed
 	Loads   = "loads"
 )
 
--- a/internal/simadapter/serve.go
+++ b/internal/simadapter/serve.go
@@ -155,7 +155,7 @@
 	if slot >= maxLists {
 		return fmt.Errorf("worker list number %d: %w", slot, errUnknown)
 	}
-	for offset := 16; offset < len(entries); offset += entrySize { // readiness stands at offset 16 of an entry
+	for offset := 16; offset < len(entries); offset += entrySize { // the readiness is at offset 16 of an entry
 		if _, known := readiness[entries[offset]]; !known {
 			return fmt.Errorf("readiness %d: %w", entries[offset], errUnknown)
 		}
@@ -209,7 +209,7 @@
 			inst.router.LoadOrderEnded(h.now, router.WorkerID(w), router.FunctionID(fn), o, int(n), timeOf(delay))
 		}
 	case 50: // stream
-		r.next(4 + 4 + 8 + 1) // streams are not supported as methods
+		r.next(4 + 4 + 8 + 1) // streams are not supported
 	case 60: // end of a check
 		o, delay, w := r.outcome(), r.u64(), r.u32()
 		report := r.report()
--- a/router/coldstart.go
+++ b/router/coldstart.go
@@ -15,11 +15,12 @@
 	clear(w.copies)
 }
 
-// coldBudgetAllows keeps rule four: within any window of the stated length, the work that all front ends send to a cold
-// worker must stay below multiple x capacity. Capacity is the least share that the settings allow at the worker's age,
-// times the work that warm workers of its kind do for this front end. Each front end sees only its share of that work,
-// so the budgets add up. Where the budget includes a fraction of an RPC, as many front ends as the fractions amount to
-// may send a whole one: those that come first in an order which all front ends compute alike.
+// coldBudgetAllows enforces rule four: within any window of the stated length, the work that all front ends send to a
+// cold worker must stay below multiple x capacity. Capacity is the least share that the settings allow at the worker's
+// age, times the work that warm workers of its kind do for this front end. Each front end sees only its share of that
+// work, so the budgets of all front ends add up to that of the worker. Where the budget includes a fraction of an RPC,
+// as many front ends as the fractions amount to may send a whole one: those that come first in an order which all front
+// ends compute alike.
 func (r *Router) coldBudgetAllows(w *worker, m *method) bool {
 	if !r.isCold(w) {
 		return true
--- a/router/evidence.go
+++ b/router/evidence.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// MaxPause is the longest pause of the process after which earlier knowledge and decisions still hold: half the drain
-// grace, so that enough of it remains for what follows. It is 0 if the settings state no grace.
+// MaxPause is the longest pause of the process after which earlier knowledge and decisions are still valid: half the
+// drain grace, so that enough of it remains for what follows. It is 0 if the settings state no grace.
 func MaxPause(s Settings) Time { return s.duration("rules.drain", 0) / 2 }
 
 // detectPause handles a pause of the process. The list is valid only because changes arrive at once. Nothing arrives
@@ -116,7 +116,7 @@
 		w.postponeCheck(r)
 	case o == OK:
 		w.idleRefusalAt = 0
-		// The worker was removed or drained and is back, so it has restarted.
+		// A worker that failed its check was removed or drained. Now it is back, so it is assumed to have restarted.
 		if w.checkFailed {
 			r.actions.Log(fmt.Sprintf("worker %d passes its check again: assumed to have restarted", w.id))
 			w.resetForRestart(r.now)
--- a/router/loads.go
+++ b/router/loads.go
@@ -130,7 +130,7 @@
 	return r.loadTokens >= r.storeLoadShare
 }
 
-// orderRationAllows keeps rule five: the load orders within the window, a new one included, stay within the ration.
+// orderRationAllows enforces rule five: the load orders within the window, a new one included, stay within the ration.
 // Since times are truncated to whole units, orders count for 1 ms longer than the window and RPCs for 1 ms less.
 func (r *Router) orderRationAllows() bool {
 	window := r.settings.duration("functions.load-window", 0)
--- a/router/placement.go
+++ b/router/placement.go
@@ -207,8 +207,8 @@
 }
 
 // workShare is the function's share of the submitted work. This RPC is left out, since its arrival is why the share is
-// computed. A front end with little traffic sees few RPCs, so the share starts from a prior estimate, which gives way
-// to observations.
+// computed. A front end with little traffic sees few RPCs, so the share starts from a prior estimate: the more RPCs it
+// sees, the less that counts.
 func (p *RPC) workShare() float64 {
 	rpcCost := p.method.meanCost()
 	return (max(0, p.fn.recentWork-rpcCost) + priorShare*priorShareWeight*rpcCost) / (max(0, p.router.recentWork-rpcCost) + priorShareWeight*rpcCost)
--- a/router/retries.go
+++ b/router/retries.go
@@ -9,7 +9,7 @@
 	return len(p.callOuts) >= int(p.router.settings.number("may.call-outs", 1))
 }
 
-// mayRetryAt keeps rule two: it reports whether a further call-out may go to the worker.
+// mayRetryAt enforces rule two: it reports whether a further call-out may go to the worker.
 func (p *RPC) mayRetryAt(w *worker) bool {
 	if p.inFlight > 0 || p.riskWorker == nil || p.method.effect == Idempotent {
 		return p.inFlight == 0
@@ -41,7 +41,7 @@
 	r.actions.Send(p.id, w.id, 0, r.sendDeadline(w))
 }
 
-// ClientLeft handles that the client left: no answer is owed.
+// ClientLeft ends the RPC, whose client left, without an answer. Call-outs in flight still report their end.
 func (p *RPC) ClientLeft(now Time) {
 	p.router.now, p.router.dirty = now, true
 	p.dequeue()
@@ -51,7 +51,7 @@
 // Finished reports whether no further event of the RPC can occur.
 func (p *RPC) Finished() bool { return p.ended && p.inFlight == 0 }
 
-// CallOutEnded handles the end of the n-th call-out. Closed: no further answer is owed; concurrent: RPCs of the
+// CallOutEnded handles the end of the n-th call-out. Closed: the RPC needs no further answer; concurrent: RPCs of the
 // function that the call-out met at the worker.
 func (p *RPC) CallOutEnded(now Time, n int, _ WorkerID, o Outcome, closed bool, warmth Warmth, concurrent int, took Time,
 	report []float64) {
--- a/router/router.go
+++ b/router/router.go
@@ -1,5 +1,6 @@
 // Package router decides, for one front end, which worker runs each RPC and when functions are loaded. Constants are in
-// this file; the other files each state what they decide.
+// this file; the other files each state what they decide. Comments say "design" of what the system's design prescribes,
+// and "exception" where the code deviates from it or from the ordinary path.
 //
 // New creates the router of a front end. Submit adds an RPC and returns its handle, which receives the later events of
 // that RPC (CallOutEnded, ClientLeft). The worker list arrives as BeginWorkerList, AddListedWorker for each entry, and
@@ -80,8 +81,8 @@
 
 	// RPCs in flight at a worker, of all front ends together; each front end may send at least 2.
 	workerInFlightCap = 6
-	idleUtil          = 0.8  // a worker that reports less is given more than that, by a step with each answer
-	busyUtil          = 0.95 // a worker that reports more is given less again, since its cores are taken
+	idleUtil          = 0.8  // a worker that reports less may get more than that, by a step with each answer
+	busyUtil          = 0.95 // a worker that reports more gets less again by steps, since its cores are taken
 	idleShareFactor   = 4    // limit of that increase, as a multiple of the front end's even share
 
 	// RPCs in flight per worker on average, of all front ends together, while answers are late.
@@ -126,23 +127,23 @@
 	functions                    map[FunctionID]*function
 	functionMemory               float64            // MB of one copy of each known function
 	queue, inFlight              []*RPC             // in order of arrival; those with an open call-out
-	recentOrders, recentSubmits  []Time             // of load orders and new RPCs, in the ration's window
-	pendingLoads, totalCopies    int                // loads in progress; copies, these loads included
-	maxLoads, maxCopies          float64            // their caps: learned from load times; from the workers' memory
+	recentOrders, recentSubmits  []Time             // times of load orders and new RPCs, in the ration's window
+	pendingLoads, totalCopies    int                // loads in progress; copies, those being loaded included
+	maxLoads, maxCopies          float64            // caps of both: learned from loads; from the workers' memory
 	loadShare, loadTokens        float64            // own share of two loads per worker; loads that may start now
 	loadTokensAt                 Time               // last refill of loadTokens
 	warmWork                     map[KindID]float64 // recent work of a warm worker for this front end
 	medianSlowness               float64            // of the workers, at least 1
 	storeLoadShare, loadsEnded   float64            // share of loads that found no copy and used the store; loads ended
-	recentWork, meanLoadTime     float64            // decaying sum over new RPCs; of all functions
+	recentWork, meanLoadTime     float64            // decaying sum of the work of new RPCs; mean of all functions
 	fleetFactor                  float64            // this front end may use this multiple of its even share
 	ownZoneFirst, ignoreHealth   bool               // loads stay in the zone; most workers look unhealthy
-	dirty, housekeepingDue       bool               // events since the last Dispatch; one of them was the timer
-	listAsOf, listValidUntil     Time               // when it was last known correct; until when it is evidence
-	listMaxAge                   Time               // 0: discovery reports each change at once
+	dirty, housekeepingDue       bool               // events since the last Dispatch; its timer was one of them
+	listAsOf, listValidUntil     Time               // when the list was last known correct; end of its time as evidence
+	listMaxAge                   Time               // age limit of the list; 0: discovery reports each change at once
 	pauseEnd, pauseStart         Time               // of the last pause of the process
 	drainGrace                   Time               // sending is allowed for this long after a reported drain
-	listWasExpired               bool               // when last logged
+	listWasExpired               bool               // the last log line on the list's age said that it had expired
 }
 
 // New creates the router of one front end.
--- a/router/router_test.go
+++ b/router/router_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// TestScenarios plays the scenarios in testdata. Each scenario stands under a line "== NAME", with one step a line; '#'
+// TestScenarios runs the scenarios in testdata. Each scenario begins with a line "== NAME" and has one step a line; '#'
 // begins a comment. Steps before the first scenario apply to all scenarios of the file.
 //
 //	set NAME VALUE            a setting; before the first other step, or before renew
@@ -52,7 +52,7 @@
 	token uint64
 }
 
-// scenarioRun plays one scenario. It implements Actions and records what the router does.
+// scenarioRun runs one scenario. It implements Actions and records what the router does.
 type scenarioRun struct {
 	t          *testing.T
 	now        Time
@@ -353,8 +353,8 @@
 }
 
 // TestFrontEndsAgreeOnHomesOfNewFunctions guards against a fleet in which each new front end overestimates the share of
-// a function that it has seen once: copies of the function then stand on too many workers and displace those of other
-// functions.
+// a function that it has seen once: copies of the function are then loaded on too many workers and displace those of
+// other functions.
 func TestFrontEndsAgreeOnHomesOfNewFunctions(t *testing.T) {
 	const frontEnds, workers, rpcsPerFrontEnd, maxHomes = 40, 111, 60, 3
 	homes := map[WorkerID]bool{}
--- a/router/state.go
+++ b/router/state.go
@@ -80,7 +80,7 @@
 	sentAt                       Time
 	cost                         float64
 	ended, cancelled, awaitsLoad bool // awaitsLoad: it started or joined a load
-	connBroke                    bool // says nothing about how the worker treats this RPC
+	connBroke                    bool // its connection broke, which says nothing about how the worker treats this RPC
 }
 
 // RPC is the handle of one RPC.
@@ -95,7 +95,7 @@
 	inFlight                             int
 	relativeCost                         float64 // its work relative to the function's mean, by its hint
 	repeat                               bool    // marked by the client as its repeat
-	queued, ended                        bool    // ended: no answer is owed any more
+	queued, ended                        bool    // ended: it needs no further answer
 	riskWorker                           *worker // worker of the first call-out that may have run
 	riskSince                            Time    // start of that call-out
 	mayHaveRun                           bool    // a call-out that ended may have run
