--- a/client/client.go
+++ b/client/client.go
@@ -33,12 +33,12 @@
 
 // Options are a client's settings.
 type Options struct {
-	Sockets        []string          // of the front ends, in the order in which they are tried
-	Methods        map[string]Effect // by name; RPCs of methods that are not listed must never run twice
-	MaxRepeats     int               // after the first try; 0: none
-	Backoff        time.Duration     // before the first repeat, then doubling; ±50% jitter; default 50 ms
-	MaxAnswerBytes int               // default 64 MiB
-	Seed           int64             // of the jitter; default 1
+	Sockets []string          // of the front ends, in the order in which they are tried
+	Methods map[string]Effect // by name; RPCs of methods that are not listed must never run twice
+	Repeats int               // most repeats after the first try; 0: none
+	BackOff time.Duration     // before the first repeat, then doubling; ±50% jitter; default 50 ms
+	Limit   int               // most bytes of an answer; default 64 MiB
+	Seed    int64             // of the jitter; default 1
 }
 
 // RPC is a request to run a method of a function.
@@ -50,11 +50,11 @@
 	Payload  []byte // JSON; may be empty
 }
 
-// Denied is the error of an RPC that was denied: a retry is harmless, but not before RetryAfter has passed, if it is
-// not 0.
+// Denied is the error of an RPC that was denied: a retry is harmless, but not before ComeBack has passed, if it is not
+// 0.
 type Denied struct {
-	Message    string
-	RetryAfter time.Duration
+	Message  string
+	ComeBack time.Duration
 }
 
 func (e *Denied) Error() string { return e.Message }
@@ -76,7 +76,7 @@
 // Errors of the connection.
 var (
 	ErrUnsent = errors.New("not sent: no front end could be reached") // the RPC never ran
-	ErrLost   = errors.New("connection lost: the RPC may have run")
+	ErrLost   = errors.New("connection lost: it may have run")
 )
 
 // Client is a client of front ends. It is safe for concurrent use.
@@ -92,11 +92,11 @@
 
 // New returns a client. It connects when the first RPC is sent.
 func New(o Options) *Client {
-	if o.Backoff == 0 {
-		o.Backoff = 50 * time.Millisecond
+	if o.BackOff == 0 {
+		o.BackOff = 50 * time.Millisecond
 	}
-	if o.MaxAnswerBytes == 0 {
-		o.MaxAnswerBytes = 64 << 20
+	if o.Limit == 0 {
+		o.Limit = 64 << 20
 	}
 	if o.Seed == 0 {
 		o.Seed = 1
@@ -120,17 +120,17 @@
 	var mayHaveRunSince time.Time // when a try that may have run ended first
 	for try := 0; ; try++ {
 		value, err := c.sendOnce(ctx, r, try > 0)
-		if err == nil || try >= c.options.MaxRepeats || ctx.Err() != nil {
+		if err == nil || try >= c.options.Repeats || ctx.Err() != nil {
 			return value, err
 		}
 		effect := c.options.Methods[r.Method]
-		wait := c.options.Backoff << min(try, 10)
+		wait := c.options.BackOff << min(try, 10)
 		var denied *Denied
 		var aborted *Aborted
 		switch {
 		case errors.As(err, &denied):
-			if denied.RetryAfter > 0 {
-				wait = denied.RetryAfter
+			if denied.ComeBack > 0 {
+				wait = denied.ComeBack
 			}
 		case errors.Is(err, ErrUnsent):
 		case errors.Is(err, ErrLost) || errors.As(err, &aborted):
@@ -278,7 +278,7 @@
 		}
 		connection := &conn{nc: nc, pending: map[string]chan answer{}}
 		c.conn, c.current = connection, index
-		go connection.read(c.options.MaxAnswerBytes)
+		go connection.read(c.options.Limit)
 		return connection, nil
 	}
 	c.current++
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -131,7 +131,7 @@
 	if _, err := c.Call(cancelledCtx, RPC{Method: "slow", Function: "g"}); !errors.Is(err, context.Canceled) || time.Since(start) > 250*time.Millisecond {
 		t.Errorf("cancelled RPC: %v after %v", err, time.Since(start))
 	}
-	unreachable := New(Options{Sockets: []string{s.socket("none")}, MaxRepeats: 2, Backoff: time.Millisecond})
+	unreachable := New(Options{Sockets: []string{s.socket("none")}, Repeats: 2, BackOff: time.Millisecond})
 	if _, err := unreachable.Call(ctx, RPC{Method: "query", Function: "f"}); !errors.Is(err, ErrUnsent) {
 		t.Errorf("no front end there: %v, want ErrUnsent", err)
 	}
@@ -143,7 +143,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	firstCtx, stopFirst := context.WithCancel(ctx)
 	stoppedA, stoppedB := s.startFrontEnd(firstCtx, "a"), s.startFrontEnd(ctx, "b")
-	c := New(Options{Sockets: []string{s.socket("a"), s.socket("b")}, MaxRepeats: 5})
+	c := New(Options{Sockets: []string{s.socket("a"), s.socket("b")}, Repeats: 5})
 	defer func() { c.Close(); stop(); <-stoppedA; <-stoppedB }()
 	if _, err := c.Call(ctx, RPC{Method: "slow", Function: "f"}); err != nil {
 		t.Fatal(err)
@@ -189,7 +189,7 @@
 		clients.Add(1)
 		go func() {
 			defer clients.Done()
-			c := New(Options{Sockets: []string{s.socket("a")}, MaxRepeats: 3, Backoff: time.Millisecond, Seed: int64(i + 1)})
+			c := New(Options{Sockets: []string{s.socket("a")}, Repeats: 3, BackOff: time.Millisecond, Seed: int64(i + 1)})
 			defer c.Close()
 			for {
 				select {
@@ -204,7 +204,7 @@
 	for n := range 10 {
 		time.Sleep(50 * time.Millisecond)
 		if n == 9 {
-			c := New(Options{Sockets: []string{s.socket("a")}, MaxRepeats: 3, Backoff: time.Millisecond})
+			c := New(Options{Sockets: []string{s.socket("a")}, Repeats: 3, BackOff: time.Millisecond})
 			defer c.Close()
 			for range 1000 {
 				clients.Add(1)
--- a/client/example/main.go
+++ b/client/example/main.go
@@ -12,7 +12,7 @@
 )
 
 func main() {
-	c := client.New(client.Options{Sockets: os.Args[1:], MaxRepeats: 3,
+	c := client.New(client.Options{Sockets: os.Args[1:], Repeats: 3,
 		Methods: map[string]client.Effect{"query": {Idempotent: true}}})
 	defer c.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
@@ -21,7 +21,7 @@
 	var denied *client.Denied
 	switch {
 	case errors.As(err, &denied):
-		fmt.Println("try again in", denied.RetryAfter)
+		fmt.Println("try again in", denied.ComeBack)
 	case err != nil:
 		fmt.Println(err)
 	default:
--- a/clients/node/src/client.ts
+++ b/clients/node/src/client.ts
@@ -21,10 +21,10 @@
   sockets: string[];
   /** By method; RPCs of methods that are not listed must never run twice. */
   methods?: Record<string, Effect>;
-  /** Repeats after the first try; by default none. */
-  maxRepeats?: number;
+  /** Most repeats after the first try; by default none. */
+  repeats?: number;
   /** Pause before the first repeat in ms, then doubling, with ±50% jitter; by default 50. */
-  backoffMs?: number;
+  backOffMs?: number;
   /** Source of the jitter: random numbers from 0 up to 1, exclusive; by default Math.random. */
   random?: () => number;
 }
@@ -41,9 +41,9 @@
   signal?: AbortSignal;
 }
 
-/** The RPC was denied: a retry is harmless, but not before retryAfterMs has passed, if it is set. */
+/** The RPC was denied: a retry is harmless, but not before comeBackMs has passed, if it is set. */
 export class Denied extends Error {
-  constructor(message: string, readonly retryAfterMs?: number) { super(message); this.name = "Denied"; }
+  constructor(message: string, readonly comeBackMs?: number) { super(message); this.name = "Denied"; }
 }
 /** The RPC was aborted: it may have run, and nothing is promised about its effect. */
 export class Aborted extends Error {
@@ -59,7 +59,7 @@
 }
 /** The connection was lost: the RPC may have run. */
 export class Lost extends Error {
-  constructor(message: string) { super("connection lost, the RPC may have run: " + message); this.name = "Lost"; }
+  constructor(message: string) { super("connection lost, it may have run: " + message); this.name = "Lost"; }
 }
 
 interface PendingCall { resolve(value: unknown): void; reject(err: Error): void }
@@ -178,15 +178,15 @@
   /** Sends an RPC, repeats it where that is harmless, and returns the worker's value. */
   async call(rpc: RPC): Promise<unknown> {
     const effect = this.options.methods?.[rpc.method] ?? {};
-    const maxRepeats = this.options.maxRepeats ?? 0;
+    const maxRepeats = this.options.repeats ?? 0;
     let mayHaveRunSince: number | undefined; // when a try that may have run ended first
     for (let repeat = 0; ; repeat++) {
       try {
         return await this.sendOnce(rpc, repeat > 0);
       } catch (err) {
         if (repeat >= maxRepeats || rpc.signal?.aborted) throw err;
-        let wait = (this.options.backoffMs ?? 50) * 2 ** Math.min(repeat, 10);
-        if (err instanceof Denied) wait = err.retryAfterMs ?? wait;
+        let wait = (this.options.backOffMs ?? 50) * 2 ** Math.min(repeat, 10);
+        if (err instanceof Denied) wait = err.comeBackMs ?? wait;
         else if (err instanceof Lost || err instanceof Aborted) {
           mayHaveRunSince ??= Date.now();
           const inWindow = Date.now() - mayHaveRunSince + wait * 1.5 < (effect.windowMs ?? 0);
--- a/clients/node/test/client.test.ts
+++ b/clients/node/test/client.test.ts
@@ -53,7 +53,7 @@
     if (request.params["repeat"]) result(s, request.id, "ok");
     else error(s, request.id, request.method === "denied" ? -32001 : -32002, { come_back_ms: 30, cause: "w" });
   });
-  const c = new Client({ sockets: [f.path], maxRepeats: 1, backoffMs: 1, random, methods: { idempotent: { idempotent: true }, tokened: { windowMs: 1000 }, late: { windowMs: 1 } } });
+  const c = new Client({ sockets: [f.path], repeats: 1, backOffMs: 1, random, methods: { idempotent: { idempotent: true }, tokened: { windowMs: 1000 }, late: { windowMs: 1 } } });
   const start = Date.now();
   assert.equal(await c.call({ method: "denied", function: "f" }), "ok");
   assert.ok(Date.now() - start >= 29);
@@ -72,7 +72,7 @@
     assert.equal(request.params["id"], open?.id);
     error(s, open!.id, -32002, { cause: "cancelled by its client" });
   });
-  const c = new Client({ sockets: [f.path], maxRepeats: 3, methods: { m: { idempotent: true } } });
+  const c = new Client({ sockets: [f.path], repeats: 3, methods: { m: { idempotent: true } } });
   const controller = new AbortController();
   setTimeout(() => controller.abort(), 30);
   await assert.rejects(c.call({ method: "m", function: "f", signal: controller.signal }), Aborted);
@@ -82,11 +82,11 @@
 test("a lost connection: an RPC that may have run ends with Lost, one that was not sent goes to the next front end", async () => {
   const a = await startFrontEnd("first", (_, s) => s.destroy());
   const b = await startFrontEnd("second", (request, s) => result(s, request.id, "b"));
-  const c = new Client({ sockets: [a.path, b.path], maxRepeats: 2, backoffMs: 1, methods: { safe: { idempotent: true } } });
+  const c = new Client({ sockets: [a.path, b.path], repeats: 2, backOffMs: 1, methods: { safe: { idempotent: true } } });
   await assert.rejects(c.call({ method: "unsafe", function: "f" }), Lost);
   a.server.close();
   assert.equal(await c.call({ method: "safe", function: "f" }), "b");
-  const unreachable = new Client({ sockets: [join(dir, "none.sock")], maxRepeats: 1, backoffMs: 1 });
+  const unreachable = new Client({ sockets: [join(dir, "none.sock")], repeats: 1, backOffMs: 1 });
   await assert.rejects(unreachable.call({ method: "safe", function: "f" }), Unsent);
   await c.close();
 });
