--- a/client/client.go
+++ b/client/client.go
@@ -227,16 +227,16 @@
 	if err != nil {
 		return fail(err)
 	}
-	value := []byte{'['}
+	batch := []byte{'['}
 	ids, answerChs := make([]string, len(rpcs)), make([]chan answer, len(rpcs))
 	for i, r := range rpcs {
 		ids[i], answerChs[i] = conn.expect()
 		if i > 0 {
-			value = append(value, ',')
+			batch = append(batch, ',')
 		}
-		value = jsonrpc.AppendRequest(value, jsonrpc.ID(ids[i]), r.Method, encodeParams(ctx, r, false))
+		batch = jsonrpc.AppendRequest(batch, jsonrpc.ID(ids[i]), r.Method, encodeParams(ctx, r, false))
 	}
-	if err := conn.write(append(value, ']')); err != nil {
+	if err := conn.write(append(batch, ']')); err != nil {
 		conn.forget(ids...)
 		return fail(err)
 	}
@@ -298,7 +298,7 @@
 	writing sync.Mutex // held during a write
 
 	mu      sync.Mutex
-	last    uint64
+	lastID  uint64
 	pending map[string]chan answer
 	ended   error // why nothing more can be sent
 }
@@ -313,8 +313,8 @@
 func (c *conn) expect() (id string, answerCh chan answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.last++
-	id, answerCh = strconv.FormatUint(c.last, 10), make(chan answer, 1)
+	c.lastID++
+	id, answerCh = strconv.FormatUint(c.lastID, 10), make(chan answer, 1)
 	if c.ended != nil {
 		answerCh <- answer{err: ErrUnsent}
 		return id, answerCh
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -109,7 +109,7 @@
 	defer func() { c.Close(); stop(); <-stopped }()
 	value, err := c.Call(ctx, RPC{Method: "query", Function: "f", Payload: []byte(`[1.0]`)})
 	if err != nil || !strings.Contains(string(value), `"payload":[1.0]`) {
-		t.Errorf("%s, %v", value, err)
+		t.Errorf("query: value %s, error %v", value, err)
 	}
 	var refused *Refused
 	if _, err := c.Call(ctx, RPC{Method: "none", Function: "f"}); !errors.As(err, &refused) || refused.Code != -32601 {
--- a/internal/emulate/emulate_test.go
+++ b/internal/emulate/emulate_test.go
@@ -97,8 +97,8 @@
 			trouble.Kind, trouble.Size = kind, x.size
 			s.Troubles = []settings.Trouble{trouble}
 			r := run(t, &s)
-			for _, b := range r.Audit.Violations {
-				t.Errorf("rule %d, %s: %s", b.Rule, b.RPC, b.Text)
+			for _, v := range r.Audit.Violations {
+				t.Errorf("rule %d, %s: %s", v.Rule, v.RPC, v.Text)
 			}
 			if all := r.All(); x.hasSymptom != nil && !x.hasSymptom(all) {
 				t.Errorf("no symptom: %+v, without trouble %+v", all, baseline)
@@ -111,7 +111,7 @@
 func TestExamples(t *testing.T) {
 	files, err := filepath.Glob("../../examples/*.xml")
 	if err != nil || len(files) < 5 {
-		t.Fatalf("%v, %v", files, err)
+		t.Fatalf("example scenarios: %v, %v, want 5 at least", files, err)
 	}
 	for _, file := range files {
 		s := read(t, file)
@@ -121,11 +121,11 @@
 		t.Run(filepath.Base(file), func(t *testing.T) {
 			t.Parallel()
 			r := run(t, s)
-			for _, b := range r.Audit.Violations {
-				t.Errorf("rule %d, %s: %s", b.Rule, b.RPC, b.Text)
+			for _, v := range r.Audit.Violations {
+				t.Errorf("rule %d, %s: %s", v.Rule, v.RPC, v.Text)
 			}
 			if r.Audit.Answers < 1000 || r.GainShare() < 0.5 {
-				t.Errorf("%d answers, %.3f kept", r.Audit.Answers, r.GainShare())
+				t.Errorf("%d answers, %.3f of the gain kept, want 1000 and 0.5 at least", r.Audit.Answers, r.GainShare())
 			}
 		})
 	}
@@ -136,8 +136,8 @@
 func TestShapeChange(t *testing.T) {
 	s := read(t, "../../examples/move.xml")
 	r := run(t, s)
-	for _, b := range r.Audit.Violations {
-		t.Errorf("rule %d, %s: %s", b.Rule, b.RPC, b.Text)
+	for _, v := range r.Audit.Violations {
+		t.Errorf("rule %d, %s: %s", v.Rule, v.RPC, v.Text)
 	}
 	at := float64(s.Troubles[0].At) / 10
 	inTime := func(from, to float64) float64 {
@@ -178,7 +178,7 @@
 		}
 		seen[p.N] = true
 		if p.TookMs < 0 || p.Tries < 0 || p.Outcome == "" {
-			t.Errorf("%+v", p)
+			t.Errorf("RPC without an outcome, or with a negative time or number of tries: %+v", p)
 		}
 	}
 	arrivals, quits, n := scenario.NewArrivals(s), map[string]bool{}, 0
--- a/internal/emulate/front.go
+++ b/internal/emulate/frontend.go
@@ -35,7 +35,7 @@
 	links         map[string]*link
 	sharedConns   []*dispatch.Conn
 	timer         eventloop.Timer
-	closed        bool // it drains and accepts no more RPCs
+	closed        bool // it has drained: nothing more can be sent to it
 	stalled       bool
 	stalledEvents []func()          // arrived while it was stalled
 	openAttempts  map[*attempt]bool // attempts whose clients wait
@@ -52,12 +52,12 @@
 	w := f.w
 	f.alive, f.closed, f.diedAt, f.stalled, f.stalledEvents = true, false, 0, false, nil
 	f.links, f.openAttempts, f.sharedConns, f.methods = map[string]*link{}, map[*attempt]bool{}, nil, map[string]int{}
-	set := &settings.FrontEnd{Number: f.index, FrontEnds: w.scenario.Fleet.FrontEnds, Zone: w.scenario.ZoneOf(f.index), Service: w.scenario.Service,
+	cfg := &settings.FrontEnd{Number: f.index, FrontEnds: w.scenario.Fleet.FrontEnds, Zone: w.scenario.ZoneOf(f.index), Service: w.scenario.Service,
 		Clients: settings.DefaultClients()}
-	f.settings = set
-	clients := &set.Clients
+	f.settings = cfg
+	clients := &cfg.Clients
 	clients.ConnOpen = 100000 // as in rehearsals
-	f.engine = engine.New(engine.Options{Settings: set.RouterSettings(), Seed: w.scenario.Seed + int64(f.index), Now: f.now(), AnswerMargin: clients.AnswerMargin,
+	f.engine = engine.New(engine.Options{Settings: cfg.RouterSettings(), Seed: w.scenario.Seed + int64(f.index), Now: f.now(), AnswerMargin: clients.AnswerMargin,
 		CancelWait: clients.CancelWait, Log: func(string) {}, NewRouter: w.newRouter})
 	methods := w.scenario.Service.EngineMethods()
 	for i, m := range methods {
@@ -184,15 +184,15 @@
 		return
 	}
 	type entry struct {
-		name string
-		m    rosterEntry
+		name   string
+		listed rosterEntry
 	}
 	var entries []entry
 	for _, name := range names {
-		if m := w.roster[name]; update != router.ListComplete || m.state != router.Removed {
-			entries = append(entries, entry{name, *m})
+		if listed := w.roster[name]; update != router.ListComplete || listed.state != router.Removed {
+			entries = append(entries, entry{name, *listed})
 			w.addRecord(record.Record{Kind: record.StateSent, Source: "roster", FrontEnd: f.name(), Worker: name,
-				State: map[router.Readiness]string{router.Removed: "gone", router.Ready: "ready", router.Draining: "draining"}[m.state]})
+				State: map[router.Readiness]string{router.Removed: "gone", router.Ready: "ready", router.Draining: "draining"}[listed.state]})
 		}
 	}
 	version := w.rosterVersion
@@ -200,14 +200,14 @@
 		f.handle(f.life, func() {
 			f.engine.BeginWorkerList(update, version)
 			for _, e := range entries {
-				s, started := &w.scenario.Service, e.m.started
+				s, started := &w.scenario.Service, e.listed.started
 				if started > 0 { // convert to the front end's clock
 					started += f.clockOffset
 				}
-				if f.engine.AddListedWorker(e.name, e.m.state, started, s.ZoneID(e.m.worker.settings.Zone), s.CellID(e.m.worker.settings.Cell), s.KindID(e.m.worker.settings.Kind)) != nil {
+				if f.engine.AddListedWorker(e.name, e.listed.state, started, s.ZoneID(e.listed.worker.settings.Zone), s.CellID(e.listed.worker.settings.Cell), s.KindID(e.listed.worker.settings.Kind)) != nil {
 					continue
 				}
-				f.updateLink(e.name, e.m)
+				f.updateLink(e.name, e.listed)
 			}
 			f.engine.EndWorkerList()
 		})
@@ -215,9 +215,9 @@
 }
 
 // updateLink connects to a listed worker, or marks the link to a removed one as unwanted.
-func (f *frontEnd) updateLink(name string, m rosterEntry) {
+func (f *frontEnd) updateLink(name string, listed rosterEntry) {
 	l := f.links[name]
-	if m.state == router.Removed {
+	if listed.state == router.Removed {
 		if l != nil {
 			l.wanted = false
 		}
@@ -372,13 +372,13 @@
 
 // CancelCallOut implements engine.Link.
 func (l *link) CancelCallOut(id engine.CallOutID) {
-	fl := l.callOuts[id]
-	if fl == nil {
+	sent := l.callOuts[id]
+	if sent == nil {
 		return
 	}
 	l.atWorker(func(x *worker) {
-		if fl.job != nil {
-			x.model.Cancel(fl.job)
+		if sent.job != nil {
+			x.model.Cancel(sent.job)
 		}
 	})
 }
--- a/internal/emulate/roll_test.go
+++ b/internal/emulate/roll_test.go
@@ -8,8 +8,8 @@
 func TestRollServesEachMethod(t *testing.T) {
 	minServed := map[string]float64{"plan": 0.9, "ring": 0.9, "store": 0.9}
 	r := run(t, read(t, "testdata/roll.xml"))
-	for _, b := range r.Audit.Violations {
-		t.Errorf("rule %d, %s: %s", b.Rule, b.RPC, b.Text)
+	for _, v := range r.Audit.Violations {
+		t.Errorf("rule %d, %s: %s", v.Rule, v.RPC, v.Text)
 	}
 	for method, want := range minServed {
 		tally := r.Methods[method]
--- a/internal/emulate/trouble.go
+++ b/internal/emulate/trouble.go
@@ -12,7 +12,7 @@
 	"mallowlanding/router"
 )
 
-// direction of a message between a front end and a worker.
+// direction is the direction of a message between a front end and a worker.
 type direction uint8
 
 const (
@@ -33,9 +33,9 @@
 // isMessageLost reports whether a message is dropped; it draws from the network's random numbers.
 func (w *world) isMessageLost(f *frontEnd, x *worker, dir direction) bool {
 	for i := range w.messageLosses {
-		c := &w.messageLosses[i]
-		if w.now < c.until && c.direction == dir && c.workers[x.settings.Name] && (c.fronts == nil || c.fronts[f.index]) &&
-			w.networkRand.Float64() < c.share {
+		loss := &w.messageLosses[i]
+		if w.now < loss.until && loss.direction == dir && loss.workers[x.settings.Name] && (loss.fronts == nil || loss.fronts[f.index]) &&
+			w.networkRand.Float64() < loss.share {
 			return true
 		}
 	}
@@ -67,7 +67,8 @@
 	return out
 }
 
-// startTrouble injects a trouble: each kind as rehearsals do, and those that sockets on one machine can't produce.
+// startTrouble injects a trouble: a kind that rehearsals have in the same way as they do, or one that sockets on one
+// machine can't produce.
 func (w *world) startTrouble(t settings.Trouble, rng *rand.Rand) {
 	each := func(workers []*worker, do func(m *standin.Model)) {
 		for _, x := range workers {
@@ -108,14 +109,14 @@
 			}
 		}
 	case "answers-lost", "cut-to-workers", "cut-from-workers":
-		c := messageLoss{until: w.now + t.For, direction: toFrontEnd, share: t.Size, workers: names(w.sampleWorkers(t.Part, rng))}
+		loss := messageLoss{until: w.now + t.For, direction: toFrontEnd, share: t.Size, workers: names(w.sampleWorkers(t.Part, rng))}
 		if t.Kind != "answers-lost" {
-			c.share = 1
-			if c.fronts = map[int]bool{rng.Intn(len(w.fronts)): true}; t.Kind == "cut-to-workers" {
-				c.direction = toWorker
+			loss.share = 1
+			if loss.fronts = map[int]bool{rng.Intn(len(w.fronts)): true}; t.Kind == "cut-to-workers" {
+				loss.direction = toWorker
 			}
 		}
-		w.messageLosses = append(w.messageLosses, c)
+		w.messageLosses = append(w.messageLosses, loss)
 	case "clock-step":
 		f := w.fronts[rng.Intn(len(w.fronts))]
 		f.handle(f.life, func() {})
@@ -200,9 +201,9 @@
 	}
 	w.after(downtime, func() {
 		for _, x := range workers {
-			set := *x.settings
-			set.Cold = true
-			next := w.startWorker(&set)
+			cfg := *x.settings
+			cfg.Cold = true
+			next := w.startWorker(&cfg)
 			for i := range w.fleet {
 				if w.fleet[i] == x {
 					w.fleet[i] = next
@@ -217,11 +218,11 @@
 func (w *world) replaceWorker(x *worker, delay router.Time) {
 	x.drain()
 	w.after(2*(w.scenario.Fleet.RosterLag+20000), x.stop)
-	set := *x.settings
-	set.Name, set.Cold = fmt.Sprintf("worker-%d", w.nextWorker), true
+	cfg := *x.settings
+	cfg.Name, cfg.Cold = fmt.Sprintf("worker-%d", w.nextWorker), true
 	w.nextWorker++
 	w.after(delay, func() {
-		next := w.startWorker(&set)
+		next := w.startWorker(&cfg)
 		for i := range w.fleet {
 			if w.fleet[i] == x {
 				w.fleet[i] = next
--- a/internal/emulate/worker.go
+++ b/internal/emulate/worker.go
@@ -15,11 +15,11 @@
 	"mallowlanding/router"
 )
 
-// inspectionInterval is the longest time between two runs of a worker's periodic housekeeping, as in the stand-in
+// housekeepingInterval is the longest time between two runs of a worker's periodic housekeeping, as in the stand-in
 // worker on sockets, in tenths of a millisecond.
-const inspectionInterval = 1000
+const housekeepingInterval = 1000
 
-// worker is one life of a worker: the stand-in's model on the world's clock. It implements standin.World for that
+// worker is one life of a worker: the stand-in's model on the world's clock. It implements standin.Environment for that
 // model.
 type worker struct {
 	w        *world
@@ -32,33 +32,33 @@
 }
 
 // startWorker starts a worker and adds it to the roster.
-func (w *world) startWorker(set *settings.Worker) *worker {
-	x := &worker{w: w, settings: set, alive: true}
-	x.model = standin.NewModel(set, x, &x.timers, w.now)
-	if w.workers[set.Name] == nil {
-		w.workerNames = append(w.workerNames, set.Name)
+func (w *world) startWorker(cfg *settings.Worker) *worker {
+	x := &worker{w: w, settings: cfg, alive: true}
+	x.model = standin.NewModel(cfg, x, &x.timers, w.now)
+	if w.workers[cfg.Name] == nil {
+		w.workerNames = append(w.workerNames, cfg.Name)
 	}
-	w.workers[set.Name], w.byID[nameid.Worker(set.Name)] = x, x
+	w.workers[cfg.Name], w.byID[nameid.Worker(cfg.Name)] = x, x
 	cold, started := 0.0, router.Time(0)
-	if set.Cold {
-		cold, started = float64(set.Rules.Cold)/10, w.now
+	if cfg.Cold {
+		cold, started = float64(cfg.Rules.Cold)/10, w.now
 	}
-	w.addRecord(record.Record{Kind: record.WorkerStarted, Source: set.Name, Zone: set.Zone, Cell: set.Cell, ColdMS: cold, ColdFrom: set.Rules.ColdFrom,
-		Cores: float64(set.Machine.Cores) * set.Machine.Speed})
-	x.scheduleInspection()
-	w.updateRoster(set.Name, func(m *rosterEntry) { m.worker, m.state, m.started = x, router.Ready, started })
+	w.addRecord(record.Record{Kind: record.WorkerStarted, Source: cfg.Name, Zone: cfg.Zone, Cell: cfg.Cell, ColdMS: cold, ColdFrom: cfg.Rules.ColdFrom,
+		Cores: float64(cfg.Machine.Cores) * cfg.Machine.Speed})
+	x.scheduleHousekeeping()
+	w.updateRoster(cfg.Name, func(e *rosterEntry) { e.worker, e.state, e.started = x, router.Ready, started })
 	return x
 }
 
-func (x *worker) scheduleInspection() {
-	x.w.after(min(x.settings.Machine.ReportInterval, inspectionInterval), func() {
+func (x *worker) scheduleHousekeeping() {
+	x.w.after(min(x.settings.Machine.ReportInterval, housekeepingInterval), func() {
 		if x.alive {
 			x.handle(x.model.Housekeep)
 			x.w.inspections++
 			if why := x.model.OverCapacity(); why != "" && x.w.overLimit == "" {
 				x.w.overLimit = x.settings.Name + ": " + why
 			}
-			x.scheduleInspection()
+			x.scheduleHousekeeping()
 		}
 	})
 }
@@ -88,9 +88,9 @@
 			l.connectionLost()
 		}
 	}
-	x.w.updateRoster(x.settings.Name, func(m *rosterEntry) {
-		if m.worker == x { // else a new worker of this name has started
-			m.state = router.Removed
+	x.w.updateRoster(x.settings.Name, func(e *rosterEntry) {
+		if e.worker == x { // else a new worker of this name has started
+			e.state = router.Removed
 		}
 	})
 }
@@ -98,14 +98,14 @@
 // drain has the worker accept nothing new; the roster lists it as draining after its lag.
 func (x *worker) drain() {
 	x.handle(x.model.Drain)
-	x.w.updateRoster(x.settings.Name, func(m *rosterEntry) {
-		if m.worker == x {
-			m.state = router.Draining
+	x.w.updateRoster(x.settings.Name, func(e *rosterEntry) {
+		if e.worker == x {
+			e.state = router.Draining
 		}
 	})
 }
 
-// Fetch implements standin.World.
+// Fetch implements standin.Environment.
 func (x *worker) Fetch(_ string, usual router.Time, done func(ok bool)) {
 	w := x.w
 	if w.store == nil {
@@ -119,7 +119,7 @@
 	})
 }
 
-// ClaimToken implements standin.World.
+// ClaimToken implements standin.Environment.
 func (x *worker) ClaimToken(group, token string, window router.Time, done func(first, ok bool)) {
 	w := x.w
 	if w.store == nil {
@@ -132,12 +132,12 @@
 	})
 }
 
-// RecordWork implements standin.World.
+// RecordWork implements standin.Environment.
 func (x *worker) RecordWork(j *standin.Job, span router.Time) {
 	x.w.addRecord(record.Record{Kind: record.WorkDone, Source: x.settings.Name, RPC: j.Mark, DurationMS: float64(span) / 10})
 }
 
-// RecordEffect implements standin.World.
+// RecordEffect implements standin.Environment.
 func (x *worker) RecordEffect(j *standin.Job, dropped bool) {
 	kind := record.EffectApplied
 	if dropped {
@@ -146,9 +146,9 @@
 	x.w.addRecord(record.Record{Kind: kind, Source: x.settings.Name, RPC: j.Mark, Method: j.Method, Function: j.Function, Token: j.Token})
 }
 
-// ColdOverload implements standin.World.
-func (x *worker) ColdOverload(pushed, could float64) {
-	x.w.addRecord(record.Record{Kind: record.WorkerOverloaded, Source: x.settings.Name, WorkMS: pushed, DurationMS: could})
+// ColdOverload implements standin.Environment.
+func (x *worker) ColdOverload(sentMS, maxMS float64) {
+	x.w.addRecord(record.Record{Kind: record.WorkerOverloaded, Source: x.settings.Name, WorkMS: sentMS, DurationMS: maxMS})
 	x.w.after(0, x.stop)
 }
 
--- a/internal/emulate/world.go
+++ b/internal/emulate/world.go
@@ -24,10 +24,12 @@
 	"mallowlanding/router"
 )
 
-// epoch is the virtual time at which a scenario begins: 10 minutes after 0, because 0 stands for long ago.
+// epoch is the virtual time at which a scenario begins, in tenths of a millisecond: 10 minutes after 0, because 0
+// stands for long ago.
 const epoch = 10 * 60 * 10000
 
-// settleTime is the time that front ends have to connect to workers before the first RPC, after the roster's lag.
+// settleTime is the time that front ends have to connect to workers before the first RPC, after the roster's lag, in
+// tenths of a millisecond.
 const settleTime = 5000
 
 // contextCheckInterval is the number of events between two checks of the context.
@@ -117,8 +119,8 @@
 	if s.Fleet.Store != nil {
 		w.store = standin.NewStoreModel(s.Fleet.Store, &w.events)
 	}
-	for _, set := range s.Workers() {
-		w.startWorker(set)
+	for _, cfg := range s.Workers() {
+		w.startWorker(cfg)
 	}
 	w.nextWorker = len(w.workerNames)
 	w.fleet = slices.Clone(w.allWorkers())
@@ -195,14 +197,14 @@
 }
 
 // updateRoster changes a worker's entry in the roster and notifies all front ends, after the roster's lag.
-func (w *world) updateRoster(name string, apply func(m *rosterEntry)) {
+func (w *world) updateRoster(name string, apply func(e *rosterEntry)) {
 	w.after(w.scenario.Fleet.RosterLag, func() {
-		m := w.roster[name]
-		if m == nil {
-			m = &rosterEntry{}
-			w.roster[name], w.rosterNames = m, append(w.rosterNames, name)
+		e := w.roster[name]
+		if e == nil {
+			e = &rosterEntry{}
+			w.roster[name], w.rosterNames = e, append(w.rosterNames, name)
 		}
-		apply(m)
+		apply(e)
 		w.rosterVersion++
 		for _, f := range w.fronts {
 			f.notifyList(router.ListChanges, []string{name})
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -64,16 +64,16 @@
 }
 
 // expandPlan returns a job for each combination of the plan; the seed varies fastest.
-func expandPlan(x *settings.Experiment) (out []job) {
+func expandPlan(plan *settings.Experiment) (out []job) {
 	policies := []string{"module"}
-	if len(x.Policies) > 0 {
+	if len(plan.Policies) > 0 {
 		policies = nil
-		for _, p := range x.Policies {
+		for _, p := range plan.Policies {
 			policies = append(policies, p.Name)
 		}
 	}
 	grids := [][]settings.Override{nil}
-	for _, v := range x.Varied {
+	for _, v := range plan.Varied {
 		var next [][]settings.Override
 		for _, g := range grids {
 			steps, _ := v.OverrideSets() // the plan's reader has checked this
@@ -83,7 +83,7 @@
 		}
 		grids = next
 	}
-	for _, d := range x.Days {
+	for _, d := range plan.Days {
 		for _, g := range grids {
 			for _, p := range policies {
 				var set []string
@@ -91,9 +91,9 @@
 					set = append(set, o.Path+"="+o.Value)
 				}
 				name := strings.TrimSuffix(filepath.Base(d.File), ".xml")
-				for i := range x.Seeds {
+				for i := range plan.Seeds {
 					out = append(out, job{scenarioFile: d.File, overrides: g, Run: Run{Day: name, Policy: p, Set: strings.Join(set, " "),
-						Cell: strings.Join(append([]string{name, p}, set...), " "), Seed: x.FirstSeed + int64(i)}})
+						Cell: strings.Join(append([]string{name, p}, set...), " "), Seed: plan.FirstSeed + int64(i)}})
 				}
 			}
 		}
@@ -103,15 +103,15 @@
 
 // Execute runs all jobs whose results are not in dir yet, and writes runs.parquet there. A progress bar is written to
 // bar.
-func Execute(ctx context.Context, x *settings.Experiment, dir string, bar io.Writer) ([]Run, error) {
+func Execute(ctx context.Context, plan *settings.Experiment, dir string, bar io.Writer) ([]Run, error) {
 	for _, sub := range []string{"runs", "rpcs"} {
 		if err := os.MkdirAll(filepath.Join(dir, sub), 0o755); err != nil {
 			return nil, err
 		}
 	}
-	all := expandPlan(x)
+	all := expandPlan(plan)
 	progress := progressbar.NewOptions(len(all), progressbar.OptionSetWriter(bar), progressbar.OptionShowCount(),
-		progressbar.OptionSetDescription(x.Name), progressbar.OptionSetPredictTime(true), progressbar.OptionThrottle(200e6))
+		progressbar.OptionSetDescription(plan.Name), progressbar.OptionSetPredictTime(true), progressbar.OptionThrottle(200e6))
 	group, groupCtx := errgroup.WithContext(ctx)
 	group.SetLimit(runtime.NumCPU())
 	runs := make([]Run, len(all))
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -19,7 +19,7 @@
 const planText = `<experiment name="two" seeds="3"><day scenario="day.xml"/><policy name="module"/><policy name="random"/>
 <vary set="load@rate-per-s" values="40 80"/></experiment>`
 
-func preparePlan(t *testing.T, text string) (dir string, x *settings.Experiment) {
+func preparePlan(t *testing.T, text string) (dir string, plan *settings.Experiment) {
 	t.Helper()
 	dir = t.TempDir()
 	day, err := os.ReadFile("../emulate/testdata/short.xml")
@@ -32,29 +32,29 @@
 			t.Fatal(err)
 		}
 	}
-	if x, err = settings.ReadExperiment(filepath.Join(dir, "plan.xml")); err != nil {
+	if plan, err = settings.ReadExperiment(filepath.Join(dir, "plan.xml")); err != nil {
 		t.Fatal(err)
 	}
-	return dir, x
+	return dir, plan
 }
 
 // An experiment writes its files for each run of the plan, and resumes where it stopped without repeating finished
 // runs.
 func TestResume(t *testing.T) {
-	dir, x := preparePlan(t, planText)
+	dir, plan := preparePlan(t, planText)
 	out := filepath.Join(dir, "out")
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	if _, err := Execute(ctx, x, out, io.Discard); err == nil {
+	if _, err := Execute(ctx, plan, out, io.Discard); err == nil {
 		t.Fatal("an experiment with a cancelled context returned no error")
 	}
-	runs, err := Execute(context.Background(), x, out, io.Discard)
+	runs, err := Execute(context.Background(), plan, out, io.Discard)
 	if err != nil || len(runs) != 12 {
 		t.Fatalf("%d runs, %v", len(runs), err)
 	}
 	files, err := filepath.Glob(filepath.Join(out, "runs", "*.parquet"))
 	if err != nil || len(files) != 12 {
-		t.Fatalf("%v, %v", files, err)
+		t.Fatalf("files of runs: %v, %v, want 12", files, err)
 	}
 	// results that exist stay; missing ones are run again and come out the same
 	if err := os.Remove(files[3]); err != nil {
@@ -64,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := Execute(context.Background(), x, out, io.Discard)
+	again, err := Execute(context.Background(), plan, out, io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -79,11 +79,11 @@
 	}
 	saved, err := Read(out)
 	if err != nil || len(saved) != 12 || saved[0].Cell != "day module load@rate-per-s=40" {
-		t.Fatalf("%v, %v", saved, err)
+		t.Fatalf("saved runs: %v, %v", saved, err)
 	}
 	rpcs, err := filepath.Glob(filepath.Join(out, "rpcs", "*.parquet"))
 	if err != nil || len(rpcs) != 12 {
-		t.Fatalf("%v, %v", rpcs, err)
+		t.Fatalf("files of RPCs: %v, %v, want 12", rpcs, err)
 	}
 	all := int64(0)
 	for _, file := range rpcs {
@@ -105,7 +105,7 @@
 	}
 	page, err := os.ReadFile(filepath.Join(out, "report.html"))
 	if err != nil || strings.Count(string(page), "<svg") != 2 || strings.Contains(string(page), "http-equiv") {
-		t.Errorf("%d bytes, %v", len(page), err)
+		t.Errorf("report of %d bytes is not a page with two charts: %v", len(page), err)
 	}
 	// an experiment does not differ from itself
 	var b bytes.Buffer
@@ -117,7 +117,7 @@
 	if err := os.WriteFile(files[0], []byte("PAR1"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Execute(context.Background(), x, out, io.Discard); err == nil || !strings.Contains(err.Error(), "malformed") {
+	if _, err := Execute(context.Background(), plan, out, io.Discard); err == nil || !strings.Contains(err.Error(), "malformed") {
 		t.Error(err)
 	}
 }
@@ -126,7 +126,7 @@
 func TestStatistics(t *testing.T) {
 	m := meanOf([]float64{1, 2, 3, 4, 5})
 	if want := 2.776 * math.Sqrt(2.5) / math.Sqrt(5); m.Mean != 3 || math.Abs(m.Off-want) > 1e-3 {
-		t.Errorf("%+v, want ± %.4f", m, want)
+		t.Errorf("mean of 1 to 5: %+v, want 3 ± %.4f", m, want)
 	}
 	pairs := func(xs ...float64) map[int64]float64 {
 		out := map[int64]float64{}
@@ -138,13 +138,13 @@
 	// differences 1, 2, 3: t is 3.464 at 2 degrees of freedom, two-sided p is 0.0742
 	d := pairedDifference(pairs(0, 0, 0), pairs(1, 2, 3))
 	if math.Abs(d.P-0.0742) > 1e-3 || d.Real || d.Mean.Mean != 2 {
-		t.Errorf("%+v", d)
+		t.Errorf("differences 1, 2, 3: %+v", d)
 	}
 	if d := pairedDifference(pairs(0, 0, 0, 0), pairs(1, 1.1, 0.9, 1)); !d.Real {
-		t.Errorf("%+v", d)
+		t.Errorf("four differences near 1: %+v", d)
 	}
 	if d := pairedDifference(pairs(1, 2), pairs(1, 2)); d.P != 1 || d.Real {
-		t.Errorf("%+v", d)
+		t.Errorf("equal samples: %+v", d)
 	}
 	if d := pairedDifference(pairs(1), pairs(2)); !math.IsNaN(d.P) || d.Real {
 		t.Errorf("one seed: %+v", d)
@@ -167,11 +167,11 @@
 			t.Fatal(err)
 		}
 		if _, err := settings.ReadExperiment(file); err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), "bad.xml:1") {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("plan %s: error %v", text, err)
 		}
 	}
-	_, x := preparePlan(t, `<experiment name="x" seeds="1"><day scenario="day.xml"/><policy name="nonsense"/></experiment>`)
-	if _, err := Execute(context.Background(), x, t.TempDir(), io.Discard); err == nil || !strings.Contains(err.Error(), `no policy "nonsense"`) {
+	_, plan := preparePlan(t, `<experiment name="x" seeds="1"><day scenario="day.xml"/><policy name="nonsense"/></experiment>`)
+	if _, err := Execute(context.Background(), plan, t.TempDir(), io.Discard); err == nil || !strings.Contains(err.Error(), `no policy "nonsense"`) {
 		t.Error(err)
 	}
 }
--- a/internal/kserve/grpc.go
+++ b/internal/kserve/grpc.go
@@ -33,14 +33,14 @@
 // grpcService implements the protocol's gRPC service for a Server.
 type grpcService struct {
 	oip.UnimplementedGRPCInferenceServiceServer
-	s *Server
+	server *Server
 }
 
 // newGRPC returns a gRPC server. It rejects a message longer than MaxBodyBytes by its length prefix, before reading
 // it. A method's own bound is checked by ModelInfer, since the method is known only once the message is read.
 func newGRPC(s *Server, opts ...grpc.ServerOption) *grpc.Server {
-	g := grpc.NewServer(append(opts, grpc.MaxRecvMsgSize(int(s.o.MaxBodyBytes)), grpc.StatsHandler(connStats{s}))...)
-	oip.RegisterGRPCInferenceServiceServer(g, &grpcService{s: s})
+	g := grpc.NewServer(append(opts, grpc.MaxRecvMsgSize(int(s.options.MaxBodyBytes)), grpc.StatsHandler(connStats{s}))...)
+	oip.RegisterGRPCInferenceServiceServer(g, &grpcService{server: s})
 	return g
 }
 
@@ -52,7 +52,7 @@
 
 // connStats is a stats handler that attaches a clientConn to each connection, and closes its counterpart at the
 // dispatcher when the connection ends.
-type connStats struct{ s *Server }
+type connStats struct{ server *Server }
 
 // TagConn implements stats.Handler.
 func (connStats) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context {
@@ -63,7 +63,7 @@
 func (c connStats) HandleConn(ctx context.Context, event stats.ConnStats) {
 	if _, ended := event.(*stats.ConnEnd); ended {
 		client := ctx.Value(connKey{}).(*clientConn)
-		c.s.loop.Post(func() {
+		c.server.loop.Post(func() {
 			if client.conn != nil {
 				client.conn.Close()
 			}
@@ -84,32 +84,32 @@
 
 // ServerReady implements the service.
 func (g *grpcService) ServerReady(context.Context, *oip.ServerReadyRequest) (*oip.ServerReadyResponse, error) {
-	return &oip.ServerReadyResponse{Ready: g.s.isReady(nil)}, nil
+	return &oip.ServerReadyResponse{Ready: g.server.isReady(nil)}, nil
 }
 
 // ModelReady implements the service.
 func (g *grpcService) ModelReady(_ context.Context, r *oip.ModelReadyRequest) (*oip.ModelReadyResponse, error) {
-	m, err := g.s.findModel(r.Name, r.Version)
+	m, err := g.server.findModel(r.Name, r.Version)
 	if err != nil {
 		return nil, status.Error(codes.NotFound, err.Error())
 	}
-	return &oip.ModelReadyResponse{Ready: g.s.isReady(m)}, nil
+	return &oip.ModelReadyResponse{Ready: g.server.isReady(m)}, nil
 }
 
 // ServerMetadata implements the service.
 func (g *grpcService) ServerMetadata(context.Context, *oip.ServerMetadataRequest) (*oip.ServerMetadataResponse, error) {
-	return &oip.ServerMetadataResponse{Name: g.s.o.Name, Version: "2"}, nil
+	return &oip.ServerMetadataResponse{Name: g.server.options.Name, Version: "2"}, nil
 }
 
 // ModelMetadata implements the service.
 func (g *grpcService) ModelMetadata(_ context.Context, r *oip.ModelMetadataRequest) (*oip.ModelMetadataResponse, error) {
-	m, err := g.s.findModel(r.Name, r.Version)
+	m, err := g.server.findModel(r.Name, r.Version)
 	if err != nil {
 		return nil, status.Error(codes.NotFound, err.Error())
 	}
 	out := &oip.ModelMetadataResponse{Name: m.Name, Platform: m.Platform, Inputs: tensorMetadata(m.Inputs),
 		Outputs: tensorMetadata(m.Outputs)}
-	for _, v := range g.s.versions(m.Name) {
+	for _, v := range g.server.versions(m.Name) {
 		out.Versions = append(out.Versions, v.Version)
 	}
 	return out, nil
@@ -124,7 +124,7 @@
 
 // ModelInfer implements the service.
 func (g *grpcService) ModelInfer(ctx context.Context, r *oip.ModelInferRequest) (*oip.ModelInferResponse, error) {
-	received, s := time.Now(), g.s
+	received, s := time.Now(), g.server
 	m, err := s.findModel(r.ModelName, r.ModelVersion)
 	if err != nil {
 		return nil, status.Error(codes.NotFound, err.Error())
@@ -134,16 +134,16 @@
 		p.TimeoutMS = max(0, float64(time.Until(deadline))/float64(time.Millisecond))
 	}
 	md, _ := metadata.FromIncomingContext(ctx)
-	if v := md.Get(strings.ToLower(s.o.TimeHeader)); len(v) > 0 { // as over HTTP; the shorter time applies
+	if v := md.Get(strings.ToLower(s.options.TimeHeader)); len(v) > 0 { // as over HTTP; the shorter time applies
 		ms, err := parseMillis(v[0])
 		if err != nil {
-			return nil, status.Errorf(codes.InvalidArgument, "%s: %v", s.o.TimeHeader, err)
+			return nil, status.Errorf(codes.InvalidArgument, "%s: %v", s.options.TimeHeader, err)
 		}
 		if p.TimeoutMS < 0 || ms < p.TimeoutMS {
 			p.TimeoutMS = ms
 		}
 	}
-	for name, dst := range map[string]*string{s.o.CustomerHeader: &p.Customer, s.o.TokenHeader: &p.Token} {
+	for name, dst := range map[string]*string{s.options.CustomerHeader: &p.Customer, s.options.TokenHeader: &p.Token} {
 		if v := md.Get(strings.ToLower(name)); len(v) > 0 {
 			*dst = v[0]
 		}
@@ -154,7 +154,7 @@
 			state = &info.State
 		}
 	}
-	client, err := certs.FindClient(s.o.Clients, state)
+	client, err := certs.FindClient(s.options.Clients, state)
 	if err == nil {
 		err = client.Authorize(s.dispatcher.MethodAt(m.Method).Name, &p.Customer)
 	}
--- a/internal/kserve/http.go
+++ b/internal/kserve/http.go
@@ -57,7 +57,7 @@
 
 // Server serves the protocol over HTTP and gRPC.
 type Server struct {
-	o          Options
+	options    Options
 	loop       *eventloop.Loop
 	dispatcher *dispatch.Dispatcher
 	models     atomic.Pointer[map[string][]*Model] // by name: the model's versions, in the order of the settings
@@ -78,7 +78,7 @@
 
 // New returns a server that submits RPCs to d, which runs on loop.
 func New(loop *eventloop.Loop, d *dispatch.Dispatcher, o Options) *Server {
-	s := &Server{o: o, loop: loop, dispatcher: d, conns: map[net.Conn]*clientConn{}}
+	s := &Server{options: o, loop: loop, dispatcher: d, conns: map[net.Conn]*clientConn{}}
 	s.UpdateSettings(o.Models)
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v2/health/live", func(w http.ResponseWriter, _ *http.Request) { writeResponse(w, 200, []byte(`{"live":true}`)) })
@@ -132,7 +132,7 @@
 
 // ServeTLS is Serve with TLS, using Options.Certs.
 func (s *Server) ServeTLS(l net.Listener) error {
-	return s.Serve(tls.NewListener(l, s.o.Certs.ServerConfig("http/1.1")))
+	return s.Serve(tls.NewListener(l, s.options.Certs.ServerConfig("http/1.1")))
 }
 
 // Drain stops accepting connections, and returns when all requests received are answered or the context ends.
@@ -213,8 +213,8 @@
 func (s *Server) isReady(m *Model) bool {
 	ready := make(chan bool, 1)
 	if !s.loop.Post(func() {
-		ready <- !s.dispatcher.Draining() && (s.o.Ready == nil || s.o.Ready()) &&
-			(m == nil || s.o.LoadsHalted == nil || !s.o.LoadsHalted(m.Function))
+		ready <- !s.dispatcher.Draining() && (s.options.Ready == nil || s.options.Ready()) &&
+			(m == nil || s.options.LoadsHalted == nil || !s.options.LoadsHalted(m.Function))
 	}) {
 		return false
 	}
@@ -230,7 +230,7 @@
 }
 
 func (s *Server) handleMetadata(w http.ResponseWriter, _ *http.Request) {
-	b := jsonrpc.AppendString([]byte(`{"name":`), s.o.Name)
+	b := jsonrpc.AppendString([]byte(`{"name":`), s.options.Name)
 	writeResponse(w, 200, append(b, `,"version":"2","extensions":["binary_tensor_data"]}`...))
 }
 
@@ -359,24 +359,24 @@
 	outcomeRejected
 )
 
-// reply receives the final answer of an RPC; it implements dispatch.Reply. Its buffer holds the one answer, so that
+// reply receives the final answer of an RPC; it implements dispatch.Responder. Its buffer holds the one answer, so that
 // sending never blocks the event loop.
 type reply chan outcome
 
-// OK implements dispatch.Reply.
+// OK implements dispatch.Responder.
 func (r reply) OK(result, blob []byte) { r <- outcome{kind: outcomeOK, value: result, blob: blob} }
 
-// Denied implements dispatch.Reply.
+// Denied implements dispatch.Responder.
 func (r reply) Denied(message string, retryAfter router.Time) {
 	r <- outcome{kind: outcomeDenied, message: message, retryAfter: retryAfter}
 }
 
-// Aborted implements dispatch.Reply.
+// Aborted implements dispatch.Responder.
 func (r reply) Aborted(cause string) {
 	r <- outcome{kind: outcomeAborted, message: "aborted, it may have run: " + cause}
 }
 
-// Rejected implements dispatch.Reply.
+// Rejected implements dispatch.Responder.
 func (r reply) Rejected(message string) { r <- outcome{kind: outcomeRejected, message: message} }
 
 // submit hands an RPC to the dispatcher and waits for its answer; it returns false if the client left first.
@@ -429,7 +429,7 @@
 	if m == nil {
 		return
 	}
-	maxBytes := s.o.MaxBodyBytes
+	maxBytes := s.options.MaxBodyBytes
 	if methodMax := s.dispatcher.MethodAt(m.Method).MaxBytes; methodMax > 0 {
 		maxBytes = min(maxBytes, methodMax)
 	}
@@ -439,8 +439,8 @@
 		return
 	}
 	p := dispatch.Params{Method: m.Method, Function: m.Function, TimeoutMS: -1,
-		Customer: r.Header.Get(s.o.CustomerHeader), Token: r.Header.Get(s.o.TokenHeader)}
-	client, err := certs.FindClient(s.o.Clients, r.TLS)
+		Customer: r.Header.Get(s.options.CustomerHeader), Token: r.Header.Get(s.options.TokenHeader)}
+	client, err := certs.FindClient(s.options.Clients, r.TLS)
 	if err == nil {
 		err = client.Authorize(s.dispatcher.MethodAt(m.Method).Name, &p.Customer)
 	}
@@ -448,9 +448,9 @@
 		writeError(w, http.StatusForbidden, err.Error())
 		return
 	}
-	if text := r.Header.Get(s.o.TimeHeader); text != "" {
+	if text := r.Header.Get(s.options.TimeHeader); text != "" {
 		if p.TimeoutMS, err = parseMillis(text); err != nil {
-			writeError(w, http.StatusBadRequest, fmt.Sprintf("header %s %v", s.o.TimeHeader, err))
+			writeError(w, http.StatusBadRequest, fmt.Sprintf("header %s %v", s.options.TimeHeader, err))
 			return
 		}
 	}
--- a/internal/kserve/http_test.go
+++ b/internal/kserve/http_test.go
@@ -65,7 +65,7 @@
 	}
 	files, err := filepath.Glob("testdata/*.xml")
 	if err != nil || len(files) != 3 {
-		t.Fatalf("%v, %v", files, err)
+		t.Fatalf("settings in testdata: %v, %v, want 3 files", files, err)
 	}
 	day := 24 * time.Hour
 	ca := certstest.New(t, "ca", nil, time.Now().Add(-day), time.Now().Add(day))
@@ -197,7 +197,7 @@
 			}
 		case isHeader:
 			if got := response.Header.Get(header); got != headerValue && headerValue != "*" {
-				return fmt.Errorf("header %s is %q", header, got)
+				return fmt.Errorf("response header %s is %q", header, got)
 			}
 		case unquoteErr == nil:
 			if literal != string(binaryTail) {
@@ -353,7 +353,7 @@
 	_ = nc.SetReadDeadline(time.Now().Add(5 * time.Second))
 	head := make([]byte, 12)
 	if _, err := io.ReadFull(nc, head); err != nil || string(head) != "HTTP/1.1 413" {
-		t.Errorf("%q, %v", head, err)
+		t.Errorf("body over the bound: response begins with %q, %v", head, err)
 	}
 	body := `{"inputs":[{"name":"x","datatype":"FP32","shape":[1],"data":[1]}]}`
 	leaving := dial()
--- a/internal/scenario/day.go
+++ b/internal/scenario/scenario.go
@@ -56,21 +56,21 @@
 
 // NewTallies returns empty tallies for each method and each second of a scenario.
 func NewTallies(s *settings.Scenario) *Tallies {
-	b := &Tallies{Methods: map[string]*Tally{}}
+	tallies := &Tallies{Methods: map[string]*Tally{}}
 	for i := range s.Service.Methods {
-		b.Methods[s.Service.Methods[i].Name] = NewTally()
+		tallies.Methods[s.Service.Methods[i].Name] = NewTally()
 	}
 	for range int(eventloop.ToDuration(s.Length)/time.Second) + 1 {
-		b.Seconds = append(b.Seconds, NewTally())
+		tallies.Seconds = append(tallies.Seconds, NewTally())
 	}
-	return b
+	return tallies
 }
 
 // Count adds the final outcome of an RPC. Due is when its first try was due, since the load began; took is the time
 // from then to the outcome.
-func (b *Tallies) Count(m *settings.Method, due time.Duration, outcome string, took time.Duration) {
-	second := min(int(due/time.Second), len(b.Seconds)-1)
-	for _, t := range []*Tally{b.Methods[m.Name], b.Seconds[second]} {
+func (ts *Tallies) Count(m *settings.Method, due time.Duration, outcome string, took time.Duration) {
+	second := min(int(due/time.Second), len(ts.Seconds)-1)
+	for _, t := range []*Tally{ts.Methods[m.Name], ts.Seconds[second]} {
 		t.Asked++
 		t.GainAsked += m.Gain
 		switch outcome {
@@ -330,21 +330,21 @@
 }
 
 // Evaluate audits the records of a scenario that was played.
-func Evaluate(s *settings.Scenario, records []record.Record, b *Tallies, notes string) *Outcome {
-	return &Outcome{Audit: audit.Check(AuditLimits(s), records), Waste: audit.MeasureWaste(records, leaveMarginMs), Methods: b.Methods,
-		Seconds: b.Seconds, Notes: notes}
+func Evaluate(s *settings.Scenario, records []record.Record, tallies *Tallies, notes string) *Outcome {
+	return &Outcome{Audit: audit.Check(AuditLimits(s), records), Waste: audit.MeasureWaste(records, leaveMarginMs), Methods: tallies.Methods,
+		Seconds: tallies.Seconds, Notes: notes}
 }
 
-// AuditLimits returns the limits that the audit holds a scenario's records to.
+// AuditLimits returns the limits by which the audit checks a scenario's records.
 func AuditLimits(s *settings.Scenario) audit.Limits {
-	r, fn := &s.Service.Rules, &s.Service.Functions
-	f := audit.Limits{Methods: map[string]audit.Method{}, Slack: float64(s.Slack) / 10, DrainGrace: float64(r.Drain) / 10,
-		OverloadMultiple: r.FallMultiple, OverloadWindow: float64(r.Fall) / 10, Cold: float64(r.Cold) / 10,
-		LoadWindow: float64(fn.LoadWindow) / 10, FreeLoads: fn.LoadFree, LoadShare: fn.LoadShare}
+	rules, functions := &s.Service.Rules, &s.Service.Functions
+	limits := audit.Limits{Methods: map[string]audit.Method{}, Slack: float64(s.Slack) / 10, DrainGrace: float64(rules.Drain) / 10,
+		OverloadMultiple: rules.FallMultiple, OverloadWindow: float64(rules.Fall) / 10, Cold: float64(rules.Cold) / 10,
+		LoadWindow: float64(functions.LoadWindow) / 10, FreeLoads: functions.LoadFree, LoadShare: functions.LoadShare}
 	for _, m := range s.Service.Methods {
-		f.Methods[m.Name] = audit.Method{Effect: m.Effect, Group: m.Group, Window: float64(m.Window) / 10}
+		limits.Methods[m.Name] = audit.Method{Effect: m.Effect, Group: m.Group, Window: float64(m.Window) / 10}
 	}
-	return f
+	return limits
 }
 
 // GainShare returns the gain kept as a share of the gain of all RPCs, over all methods.
@@ -400,22 +400,22 @@
 }
 
 // Print writes a table of the tallies by method.
-func (b *Tallies) Print(out io.Writer, title string) {
-	w, _ := methodTable(out, title, b.Methods)
+func (ts *Tallies) Print(out io.Writer, title string) {
+	w, _ := methodTable(out, title, ts.Methods)
 	w.Render()
 }
 
 // Merge adds the tallies of another process.
-func (b *Tallies) Merge(o *Tallies) error {
-	for name, t := range o.Methods {
-		if b.Methods[name] == nil {
+func (ts *Tallies) Merge(other *Tallies) error {
+	for name, t := range other.Methods {
+		if ts.Methods[name] == nil {
 			return fmt.Errorf("tallies of method %q, which is unknown here", name)
 		}
-		b.Methods[name].Add(t)
+		ts.Methods[name].Add(t)
 	}
-	for i, t := range o.Seconds {
-		if i < len(b.Seconds) {
-			b.Seconds[i].Add(t)
+	for i, t := range other.Seconds {
+		if i < len(ts.Seconds) {
+			ts.Seconds[i].Add(t)
 		}
 	}
 	return nil
@@ -467,15 +467,15 @@
 	fmt.Fprintf(out, "seen by clients, workers and roster: %d RPCs, %d answers, %d call-outs, %d load orders, %d effects\n",
 		a.RPCs, a.Answers, a.CallOuts, a.Orders, a.Effects)
 	fmt.Fprint(out, o.Notes)
-	if q := o.Waste; q.ClientsLeft > 0 {
+	if waste := o.Waste; waste.ClientsLeft > 0 {
 		fmt.Fprintf(out, "%d clients left: work begun later than %d ms after that %d times, %.0f ms; work past that %.0f ms of %.0f, %.2f%%\n",
-			q.ClientsLeft, leaveMarginMs, q.StartedLate, q.StartedLateMS, q.WastedMS, q.TotalMS, 100*q.WastedMS/max(q.TotalMS, 1e-9))
+			waste.ClientsLeft, leaveMarginMs, waste.StartedLate, waste.StartedLateMS, waste.WastedMS, waste.TotalMS, 100*waste.WastedMS/max(waste.TotalMS, 1e-9))
 	}
 	for rule := 1; rule <= 5; rule++ {
 		var breaks []audit.Violation
-		for _, b := range a.Violations {
-			if b.Rule == rule {
-				breaks = append(breaks, b)
+		for _, v := range a.Violations {
+			if v.Rule == rule {
+				breaks = append(breaks, v)
 			}
 		}
 		fmt.Fprintf(out, "rule %d: %d breaks\n", rule, len(breaks))
--- a/internal/scenario/day_test.go
+++ b/internal/scenario/scenario_test.go
@@ -88,7 +88,7 @@
 	arrivals := allArrivals(readScenario(t, `process="trace" trace="trace"`, "# a day\n0 a f1\n10.5 b f2\n\n10.5 a f1 c\n"))
 	if len(arrivals) != 3 || arrivals[1].At != 10500*time.Microsecond || arrivals[1].Mix.Method != "b" || arrivals[1].Function != "f2" || arrivals[2].Mix.Customer != "c" ||
 		arrivals[0].Mix.Protocol != "http" {
-		t.Errorf("%+v", arrivals)
+		t.Errorf("arrivals of the trace: %+v", arrivals)
 	}
 	dir := t.TempDir()
 	for text, want := range map[string]string{"x a f": "trace:1: ", "5 a f\n4 a f": "trace:2: 4 ms is before", "1 a": "trace:1: ", "1 z f": `method "z"`} {
@@ -96,7 +96,7 @@
 		_ = os.WriteFile(file, []byte(strings.Replace(scenarioText, "LOAD", `process="trace" trace="trace"`, 1)), 0o600)
 		_ = os.WriteFile(filepath.Join(dir, "trace"), []byte(text), 0o600)
 		if _, err := settings.ReadScenario(file); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("trace %q: error %v", text, err)
 		}
 	}
 }
@@ -130,7 +130,7 @@
 	a, b := single.Methods["a"], merged.Methods["a"]
 	if a.Asked != 1000 || a.Asked != b.Asked || a.OK != b.OK || a.Late != b.Late || a.Denied != b.Denied || a.Aborted != b.Aborted ||
 		a.Lost != b.Lost || math.Abs(a.GainKept-b.GainKept) > 1e-9 {
-		t.Errorf("%+v, merged %+v", a, b)
+		t.Errorf("tally of one process %+v, merged %+v", a, b)
 	}
 	for _, p := range []float64{1, 50, 99, 100} {
 		if a.Quantile(p) != b.Quantile(p) {
--- a/internal/scenariosearch/hunt.go
+++ b/internal/scenariosearch/search.go
@@ -44,9 +44,9 @@
 
 // Score returns the value that the search maximizes: the oracle's share of gain less the router's, plus breakScore if a
 // rule is broken.
-func (f *Candidate) Score() float64 {
-	score := f.OracleShare - f.RouterShare
-	if f.Breaks > 0 {
+func (c *Candidate) Score() float64 {
+	score := c.OracleShare - c.RouterShare
+	if c.Breaks > 0 {
 		score += breakScore
 	}
 	return score
@@ -94,15 +94,15 @@
 
 // evaluate plays a scenario with the router and with the oracle.
 func evaluate(ctx context.Context, s *settings.Scenario) (*Candidate, error) {
-	m, err := emulate.Run(ctx, s, "")
+	routerResult, err := emulate.Run(ctx, s, "")
 	if err != nil {
 		return nil, err
 	}
-	o, err := emulate.Run(ctx, s, "oracle")
+	oracleResult, err := emulate.Run(ctx, s, "oracle")
 	if err != nil {
 		return nil, err
 	}
-	return &Candidate{Scenario: s, RouterShare: m.GainShare(), OracleShare: o.GainShare(), Breaks: len(m.Audit.Violations)}, nil
+	return &Candidate{Scenario: s, RouterShare: routerResult.GainShare(), OracleShare: oracleResult.GainShare(), Breaks: len(routerResult.Audit.Violations)}, nil
 }
 
 // randomScenario varies base: another fleet, another load, and one to four troubles.
@@ -182,26 +182,26 @@
 }
 
 // shrink replaces the scenario by its first reduction that still has the minimum score, until there is none.
-func shrink(ctx context.Context, f *Candidate, evaluated int, report func(string)) (*Candidate, error) {
-	minScore := minScoreShare * f.Score()
-	if f.Breaks > 0 {
+func shrink(ctx context.Context, candidate *Candidate, evaluated int, report func(string)) (*Candidate, error) {
+	minScore := minScoreShare * candidate.Score()
+	if candidate.Breaks > 0 {
 		minScore = breakScore - 1
 	}
 	for again := true; again; {
 		again = false
-		for _, s := range reductions(f.Scenario) {
+		for _, s := range reductions(candidate.Scenario) {
 			next, err := evaluate(ctx, s)
 			if err != nil {
 				return nil, err
 			}
 			if evaluated++; next.Score() >= minScore {
-				f, again = next, true
+				candidate, again = next, true
 				report(fmt.Sprintf("reduced to %d troubles, %d front ends: router %.3f, oracle %.3f, %d rule breaks", len(s.Troubles), s.Fleet.FrontEnds,
 					next.RouterShare, next.OracleShare, next.Breaks))
 				break
 			}
 		}
 	}
-	f.Evaluated = evaluated
-	return f, nil
+	candidate.Evaluated = evaluated
+	return candidate, nil
 }
--- a/internal/scenariosearch/hunt_test.go
+++ b/internal/scenariosearch/search_test.go
@@ -10,8 +10,8 @@
 	"mallowlanding/internal/settings"
 )
 
-// A search finds a scenario with a positive score and reduces it. No reduction of the result scores much higher, and the
-// result replays identically from its file.
+// A search finds a scenario with a positive score and reduces it. No reduction of the result scores much higher, and
+// the result replays identically from its file.
 func TestSearch(t *testing.T) {
 	base, err := settings.ReadScenario("../emulate/testdata/short.xml")
 	if err != nil {
--- a/internal/standin/model.go
+++ b/internal/standin/model.go
@@ -21,9 +21,9 @@
 type Response struct {
 	Code         int
 	Message      string
-	Repeat       bool // the RPC was a repeat, and its effect was dropped
-	Warmth       string
-	RPCsAtCopies int // RPCs that ran or waited at the function's copies when this one came
+	Repeat       bool   // the RPC was a repeat, and its effect was dropped
+	Warmth       string // whether the RPC found a loaded copy or waited for a load, in the words of docs/protocol.md
+	RPCsAtCopies int    // RPCs that ran or waited at the function's copies when this one came
 }
 
 // Job is one RPC at a worker.
@@ -352,10 +352,11 @@
 	m.timers.Stop(&j.timer)
 	j.function.active++
 	m.coreQueue = append(m.coreQueue, j)
-	m.startQueued()
+	m.startQueuedRPCs()
 }
 
-func (m *Model) startQueued() {
+// startQueuedRPCs starts RPCs that wait for a core while cores are free.
+func (m *Model) startQueuedRPCs() {
 	for m.freeCores > 0 && len(m.coreQueue) > 0 {
 		j := m.coreQueue[0]
 		m.coreQueue = m.coreQueue[1:]
@@ -398,7 +399,7 @@
 		}
 		m.releaseLane(j, Response{Repeat: !first})
 	})
-	m.startQueued()
+	m.startQueuedRPCs()
 }
 
 // applyEffect applies an RPC's effect. For a tokened RPC it claims the token first, and drops the effect of a repeat.
@@ -433,7 +434,7 @@
 		fn.loaded--
 	}
 	m.startWaiting(fn)
-	m.startQueued()
+	m.startQueuedRPCs()
 	m.startQueuedLoads()
 }
 
@@ -623,12 +624,12 @@
 // Hang makes the worker accept RPCs and answer none, for the given time.
 func (m *Model) Hang(span router.Time) { m.hangUntil = m.now + span }
 
-// Slow makes the work of all RPCs take longer by a factor.
+// Slow makes the work of all RPCs take longer by a factor, for the given time.
 func (m *Model) Slow(factor float64, span router.Time) {
 	m.slowFactor, m.slowUntil = factor, m.now+span
 }
 
-// SlowFunction makes the work of one function take longer by a factor.
+// SlowFunction makes the work of one function take longer by a factor, for the given time.
 func (m *Model) SlowFunction(function string, factor float64, span router.Time) {
 	m.slowFunction, m.slowFunctionFactor, m.slowFunctionUntil = function, factor, m.now+span
 }
@@ -664,19 +665,19 @@
 	return 0, false
 }
 
-// FailLoads makes a share of loads fail.
+// FailLoads makes a share of loads fail, for the given time.
 func (m *Model) FailLoads(share float64, span router.Time) {
 	m.loadFailShare, m.loadFailUntil = share, m.now+span
 }
 
-// FailRPCs makes a share of RPCs fail immediately.
+// FailRPCs makes a share of RPCs fail immediately, for the given time.
 func (m *Model) FailRPCs(share float64, span router.Time) {
 	m.errorShare, m.errorsUntil = share, m.now+span
 }
 
-// DelayReports delays load reports.
-func (m *Model) DelayReports(by, span router.Time) {
-	m.reportDelay, m.reportDelayUntil = by, m.now+span
+// DelayReports makes load reports lag by a delay, for the given time.
+func (m *Model) DelayReports(delay, span router.Time) {
+	m.reportDelay, m.reportDelayUntil = delay, m.now+span
 }
 
 // Release simulates a new release of the functions that released selects: their copies become stale. Idle ones are
--- a/internal/standin/roster.go
+++ b/internal/standin/roster.go
@@ -30,9 +30,9 @@
 	loop    *eventloop.Loop
 	timers  eventloop.Timers
 
-	version  uint64
+	version  uint64 // of the worker list
 	entries  map[string]*rosterEntry
-	order    []string
+	order    []string // names of the entries, in the order of their first join
 	watchers map[*rosterConn]bool
 }
 
@@ -116,16 +116,16 @@
 				c.workers = append(c.workers, name)
 			}
 			c.r.afterLag(func() {
-				m := c.r.entries[name]
-				if m == nil {
-					m = &rosterEntry{}
-					c.r.entries[name], c.r.order = m, append(c.r.order, name)
+				e := c.r.entries[name]
+				if e == nil {
+					e = &rosterEntry{}
+					c.r.entries[name], c.r.order = e, append(c.r.order, name)
 				}
 				if state == "ready" {
-					m.life, m.started, m.cold = unixMS, now, cold
+					e.life, e.started, e.cold = unixMS, now, cold
 				}
-				m.socket, m.zone, m.cell = member(params, "socket"), member(params, "zone"), member(params, "cell")
-				m.kind, m.state = member(params, "kind"), state
+				e.socket, e.zone, e.cell = member(params, "socket"), member(params, "zone"), member(params, "cell")
+				e.kind, e.state = member(params, "kind"), state
 				c.r.broadcast(name)
 			})
 		})
@@ -143,8 +143,8 @@
 	ended := c.r.loop.Now()
 	for _, name := range c.workers {
 		c.r.afterLag(func() {
-			if m := c.r.entries[name]; m != nil && m.started < ended { // otherwise the worker has been started again
-				m.state = "gone"
+			if e := c.r.entries[name]; e != nil && e.started < ended { // otherwise the worker has been started again
+				e.state = "gone"
 				c.r.broadcast(name)
 			}
 		})
@@ -164,8 +164,8 @@
 	b = append(strconv.AppendBool(append(b, `,"whole":`...), full), `,"workers":[`...)
 	now, sentAny := r.loop.Now(), false
 	for _, name := range names {
-		m := r.entries[name]
-		if full && m.state == "gone" {
+		e := r.entries[name]
+		if full && e.state == "gone" {
 			continue
 		}
 		if sentAny {
@@ -173,24 +173,24 @@
 		}
 		sentAny = true
 		b = jsonrpc.AppendString(append(b, `{"name":`...), name)
-		for _, f := range [][2]string{{"socket", m.socket}, {"state", m.state}, {"zone", m.zone}, {"cell", m.cell},
-			{"kind", m.kind}} {
+		for _, f := range [][2]string{{"socket", e.socket}, {"state", e.state}, {"zone", e.zone}, {"cell", e.cell},
+			{"kind", e.kind}} {
 			b = jsonrpc.AppendString(append(jsonrpc.AppendString(append(b, ','), f[0]), ':'), f[1])
 		}
 		age := -1.0 // a worker that was warm when it joined started long ago
-		if m.cold {
-			age = float64(now-m.started) / 10
+		if e.cold {
+			age = float64(now-e.started) / 10
 		}
-		b = strconv.AppendInt(append(b, `,"life":`...), m.life, 10)
+		b = strconv.AppendInt(append(b, `,"life":`...), e.life, 10)
 		b = append(strconv.AppendFloat(append(b, `,"age_ms":`...), age, 'f', 1, 64), '}')
 	}
 	value := jsonrpc.AppendRequest(nil, nil, "roster.list", append(b, "]}"...))
 	sentAt := time.Now().UnixNano()
 	c.conn.Write(value)
 	for _, name := range names {
-		if m := r.entries[name]; !full || m.state != "gone" {
+		if e := r.entries[name]; !full || e.state != "gone" {
 			if err := r.records.Add(record.Record{UnixNS: sentAt, Kind: record.StateSent, Source: "roster", FrontEnd: c.frontEnd,
-				Worker: name, State: m.state}); err != nil {
+				Worker: name, State: e.state}); err != nil {
 				r.log.Error().Err(err).Msg("cannot write the record log")
 			}
 		}
@@ -272,8 +272,9 @@
 	})
 }
 
-// Fetch takes the usual time at least. While there are more than at-once fetches, they share the store's speed, and the
-// thrash setting slows them further the more there are.
+// Fetch simulates the fetch of a function, and calls done when it has ended or is refused. A fetch takes its usual time
+// at least. While there are more fetches than the at-once setting, they share the store's speed, and the thrash setting
+// slows them further the more there are.
 func (s *StoreModel) Fetch(now, usual router.Time, done func(ok bool)) {
 	if s.active >= s.cfg.RefuseFrom {
 		done(false)
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -50,7 +50,7 @@
 	housekeeping eventloop.Timer
 	store        *jsonrpc.Caller
 	roster       *jsonrpc.Caller
-	end          context.CancelCauseFunc
+	end          context.CancelCauseFunc // ends the worker; the cause is what Worker returns
 
 	mu        sync.Mutex
 	frontEnds map[*frontEndConn]bool
