--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -42,7 +42,7 @@
 	Check(id CheckID)
 }
 
-// IDs of call-outs, load orders and checks.
+// Each kind of id is a type of its own, so that ids of different kinds cannot be confused.
 type (
 	CallOutID uint64
 	OrderID   uint64
@@ -53,7 +53,7 @@
 type Method struct {
 	Name         string
 	Effect       string
-	Group        string  // for a tokened method: the workers among which repeats are recognized
+	Group        string  // for a tokened method: the workers that recognize and drop its repeats
 	Gain         float64 // value of an answer in time
 	SoftDeadline router.Time
 	MaxBatch     int         // most RPCs of one function in one call-out to a worker; 1: no batches
@@ -226,7 +226,7 @@
 	e.router.UpdateSettings(e.now, parsed)
 }
 
-// BeginTurn begins a turn.
+// BeginTurn begins a turn at the time now. It passes on deferred results, and prunes unused names at intervals.
 func (e *Engine) BeginTurn(now router.Time) {
 	e.now = now
 	e.counts.Turns++
@@ -237,8 +237,8 @@
 	}
 }
 
-// prune drops functions and workers that no RPC, load order or worker list refers to any more, so that memory does not
-// grow with the number of names ever seen.
+// prune drops functions that have been unused, and workers that have been removed, for the retention time, so that
+// memory does not grow with the number of names ever seen. A function with an open RPC or load order is kept.
 func (e *Engine) prune() {
 	inUse := map[router.FunctionID]bool{}
 	for _, o := range e.orders {
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -231,7 +231,8 @@
 	}
 }
 
-// TestOnGiveUpReportsReason checks that OnGiveUp gets the reason for which the router denied an RPC.
+// TestOnGiveUpReportsReason checks that OnGiveUp gets the reason for which the router denied an RPC, so that the
+// operator of a front end sees which limit kept the RPC from being sent.
 func TestOnGiveUpReportsReason(t *testing.T) {
 	reasons := []router.Reason{}
 	e := New(Options{Now: 1e6, Log: func(string) {}, OnGiveUp: func(_ *RPC, why router.Reason) { reasons = append(reasons, why) },
--- a/router/evidence.go
+++ b/router/evidence.go
@@ -7,11 +7,11 @@
 
 // This file decides for how long a worker is assumed not to drain, and which workers are checked after that.
 //
-// Rule three binds as soon as discovery has reported a drain. If discovery is silent, a drain counts as reported a
-// stated time later (listMaxAge), even if no report arrived. Until then the worker list is evidence enough. After that
-// a drain counts as reported the moment it begins, so a call-out or load order needs evidence that is no older than the
-// rule's grace: a call-out that was served, a load order that was carried out, or a check that passed, each dated to
-// its start. A question for copies proves nothing, since workers that drain answer it as usual.
+// Rule three binds as soon as discovery has reported a drain. If discovery has been silent for a stated time
+// (listMaxAge), a drain counts as reported even if no report arrived. Until then the worker list is evidence enough.
+// After that a drain counts as reported the moment it begins, so a call-out or load order needs evidence that is no
+// older than the rule's grace: a call-out that was served, a load order that was carried out, or a check that passed,
+// each dated to its start. A question for copies proves nothing, since workers that drain answer it as usual.
 
 // forever is a time that never comes.
 const forever Time = math.MaxInt64
--- a/router/forget.go
+++ b/router/forget.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// dropUnused drops records that no event can refer to any more, so that memory does not grow with every function and
-// worker ever seen: functions without RPCs and copies, and removed workers, both after unusedRetention. No decision
-// depends on it: all values in such records have decayed or expired long before.
+// dropUnused drops records that are no longer in use, so that memory does not grow with every function and worker ever
+// seen: functions without RPCs and copies, and removed workers without call-outs in flight or pending checks, both
+// after unusedRetention. No decision depends on it: all values in such records have decayed or expired long before.
 func (r *Router) dropUnused() {
 	for id, fn := range r.functions {
 		if r.now-fn.lastSubmit >= unusedRetention && fn.inFlight+fn.queued == 0 && !r.hasCopies(id) {
--- a/router/placement.go
+++ b/router/placement.go
@@ -81,9 +81,10 @@
 	return false
 }
 
-// sendAllowance protects workers from many front ends that each send little. It returns how many RPCs may be sent until
-// this front end's RPCs in flight, those that wait for a load left out, reach its share of fleetInFlightCap for each
-// healthy worker. Late: for RPCs whose answers would be late.
+// sendAllowance returns how many more RPCs this front end may send now. Its limit of RPCs in flight is its share of
+// fleetInFlightCap for each healthy worker, which protects workers from many front ends that each send little. RPCs
+// that wait for a load, or are in flight at an unhealthy worker, do not count. Late: for RPCs whose answers would be
+// late.
 func (r *Router) sendAllowance(late bool) int {
 	healthy, frontEnds, factor := 0.0, r.frontEnds(), r.fleetFactor
 	if late {
--- a/router/queue.go
+++ b/router/queue.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// giveUp answers the RPC at once: denied where a retry is harmless, with the longest time to retry after that clients
-// respect, else aborted.
+// giveUp answers the RPC at once: denied where a retry is harmless, else aborted. A denied client is asked to retry
+// after the longest time that clients respect.
 func (p *RPC) giveUp() {
 	p.dequeue()
 	p.ended = true
--- a/router/router.go
+++ b/router/router.go
@@ -81,7 +81,7 @@
 
 	// RPCs in flight at a worker, of all front ends together; each front end may send at least 2.
 	workerInFlightCap = 6
-	idleUtil          = 0.8  // a worker that reports less may get more than that, by a step with each answer
+	idleUtil          = 0.8  // a worker that reports less may get more than its share, by a step with each answer
 	busyUtil          = 0.95 // a worker that reports more gets less again by steps, since its cores are taken
 	idleShareFactor   = 4    // limit of that increase, as a multiple of the front end's even share
 
