--- a/internal/access/access.go
+++ b/internal/access/access.go
@@ -17,7 +17,7 @@
 // Rules are tried in order; the first one that matches a peer applies. An empty list gives all peers full access.
 type Rules []Rule
 
-// Permissions are those of one peer.
+// Permissions say what one peer may do: what the first rule that matches it allows.
 type Permissions struct {
 	peer string // its ids, for errors
 	rule *Rule  // nil: no restrictions
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -22,8 +22,8 @@
 )
 
 // Time limits of the protocol. Once one has passed after a failure, the front end counts as informed of the changes that
-// the service knew of then, even if it has not received them. A request that is sent after the failure and is answered
-// ends the time limit.
+// the service knew of at the failure, even if it has not received them. A request that is sent after the failure and is
+// answered ends the time limit.
 const (
 	SilenceExpiry = 7 * time.Second // after the service has become unreachable
 	ReloadExpiry  = 4 * time.Second // after a reload that names another service
@@ -34,9 +34,9 @@
 const (
 	maxWait            = time.Second      // longest delay of a response by the service; silence is noticed soon after
 	unconfirmedMaxWait = time.Millisecond // the same while the list is unconfirmed: its current state is needed at once
-	// Time to connect, and time for a response beyond the requested wait. It doubles while responses are late, so that
-	// a service that is always slow gets through in the end. It stays below waitExpiry, which runs from the end of the
-	// wait.
+	// The slack is the time that a response may take beyond maxWait. It doubles from minSlack to maxSlack while
+	// responses are late, so that a service that is always slow gets through in the end. It stays below waitExpiry,
+	// which runs from the end of the requested wait. minSlack is also the time to connect.
 	minSlack      = 300 * time.Millisecond
 	maxSlack      = 4 * minSlack
 	minPause      = 10 * time.Millisecond  // before the first retry after a failure; doubles with each further one
@@ -114,8 +114,8 @@
 	}
 }
 
-// RequestAgain drops the request in flight and sends a new one: its response may be older than one that is requested
-// now.
+// RequestAgain drops the request in flight, whose response may be older than one that is requested now. It has a new
+// one sent, which the service is asked to answer at once.
 func (f *Feed) RequestAgain() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/feed/feed_test.go
+++ b/internal/feed/feed_test.go
@@ -381,7 +381,8 @@
 }
 
 // TestExpiries checks the expiry reported after a response that broke off, and after no response, which counts from the
-// end of the requested wait. A connection that ends before a response has begun reports none.
+// end of the requested wait. A connection that ends before a response has begun reports none: the service counts as
+// unreachable, and the router applies SilenceExpiry by itself.
 func TestExpiries(t *testing.T) {
 	s := newService(t)
 	tf := startFeed(t, s)
--- a/internal/httpconn/httpconn.go
+++ b/internal/httpconn/httpconn.go
@@ -26,7 +26,7 @@
 // ErrNotSent means that the request was not written completely, so it never ran.
 var ErrNotSent = errors.New("not sent whole")
 
-// ErrBadResponse means that a response came that is malformed, truncated or too large.
+// ErrBadResponse means that a response came that is malformed, truncated or too large, or does not give its length.
 var ErrBadResponse = errors.New("spoilt answer")
 
 // Conn is a connection for one exchange at a time.
--- a/internal/httplink/httplink_test.go
+++ b/internal/httplink/httplink_test.go
@@ -249,7 +249,8 @@
 	f.expectConnCount(2)
 }
 
-// TestLowerConnectionLimit checks that idle connections are closed when the limit has been lowered below their number.
+// TestLowerConnectionLimit checks that a new connection closes idle ones until the limit is met, after the limit has
+// been lowered below their number.
 func TestLowerConnectionLimit(t *testing.T) {
 	f := newFixture(t)
 	for range 3 {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -35,7 +35,7 @@
 	// The platform kills a front end once the longest deadline of its methods has passed after lameDuckTime. RPCs that
 	// are open this long before the kill are answered at that point, whatever is left of their budgets.
 	killMargin        = 100 * time.Millisecond
-	bindTimeout       = 30 * time.Second      // for a predecessor's address; the platform then gives up
+	bindTimeout       = 30 * time.Second      // a predecessor may still hold the address; later the platform gives up
 	bindRetryInterval = 20 * time.Millisecond // time between two attempts to listen
 	reservedFiles     = 24                    // descriptors of listener, journal connection, standard streams, runtime
 	heapShare         = 0.7                   // of MemoryMB, for Go's soft memory limit; stacks and code come on top
@@ -240,7 +240,7 @@
 	}
 }
 
-// logGiveUp logs at debug level why an RPC that the router gives up on was last waiting.
+// logGiveUp logs at debug level that the router gives up on an RPC, and why the RPC was last not sent.
 func (f *FrontEnd) logGiveUp(rpc *engine.RPC, reason router.Reason) {
 	f.log.Debug().Str("ticket", rpc.ClientRPCID).Str("method", rpc.Method.Name).Str("what", rpc.Function).Stringer("reason", reason).
 		Int("call_outs", rpc.CallOuts()).Msg("the router gave up on an RPC")
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -36,7 +36,7 @@
 //	tell W=STATE ...          add an event to the journal; events before 'start' are in the configuration
 //	fleet N at W STATE        add an event with N more workers at W's address
 //	knows N                   expect that the router knows N ready workers
-//	confirmed                 expect that the worker list confirms all of its workers to the router
+//	confirmed                 expect that the router has evidence by the worker list that none of its workers drains
 //	feed break|silent         the journal service cuts its next response short, or does not send it
 //	feed moves|bad            the journal service gets a new address, which the front end reads in a reload; the front
 //	                          end reloads an invalid configuration
--- a/internal/sockio/sockio.go
+++ b/internal/sockio/sockio.go
@@ -74,7 +74,8 @@
 	return n, err
 }
 
-// PeerClosed reports whether the peer has closed the connection, even if bytes received before that are unread.
+// PeerClosed reports whether the peer has closed the connection or its sending side, even if bytes received before that
+// are unread.
 func (s Socket) PeerClosed() (closed bool) {
 	if s.raw == nil {
 		return false
--- a/internal/thrift/server.go
+++ b/internal/thrift/server.go
@@ -31,7 +31,7 @@
 
 const (
 	maxOpenRPCs           = 32                    // on one connection; set by the protocol
-	firstMessageTimeout   = 2 * time.Second       // until a first message; silent clients must be closed within 3 s
+	firstMessageTimeout   = 2 * time.Second       // until a first full message; bad clients must be closed within 3 s
 	messageTimeout        = 2 * time.Second       // from a message's first byte to its last
 	idleTimeout           = 6 * time.Second       // without an open RPC; clients close after 4 s themselves
 	writeTimeout          = 2 * time.Second       // for a write of queued answers, before the connection is closed
