--- a/client/client.go
+++ b/client/client.go
@@ -383,13 +383,13 @@
 	}
 }
 
-// HandleRequest implements jsonrpc.Peer. Front ends send no requests to clients.
+// HandleRequest implements jsonrpc.Handler. Front ends send no requests to clients.
 func (c *conn) HandleRequest(jsonrpc.ID, string, []byte) {}
 
-// HandleInvalid implements jsonrpc.Peer.
+// HandleInvalid implements jsonrpc.Handler.
 func (c *conn) HandleInvalid(jsonrpc.ID, int, string) { c.nc.Close() }
 
-// HandleResponse implements jsonrpc.Peer.
+// HandleResponse implements jsonrpc.Handler.
 func (c *conn) HandleResponse(id jsonrpc.ID, result []byte, code int, message string, data []byte) {
 	a := answer{}
 	switch code {
--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -127,7 +127,8 @@
 }
 
 // Enqueue adds an RPC as a waiting ticket, or rejects it. If the limit of the whole front end is reached, a waiting
-// ticket of less gain is displaced by the new one: it is released and returned as displaced, for the caller to deny.
+// ticket of less gain is displaced by the new one if that makes enough room: it is released and returned as displaced,
+// for the caller to deny.
 func (c *Conn) Enqueue(now router.Time, function string, bytes int64, gain float64, value any) (t *Ticket,
 	rejection *Rejection, displaced *Ticket) {
 	q := c.queue
--- a/internal/cancellation/cancellation.go
+++ b/internal/cancellation/cancellation.go
@@ -15,8 +15,8 @@
 	Abort                // it may have run
 )
 
-// RPC tracks the call-outs of one RPC. A value with only Effect and Group set, which are those of the RPC's method, has
-// had no call-outs.
+// RPC tracks the call-outs of one RPC. Effect and Group are those of its method; a value with only these two set is an
+// RPC without call-outs.
 type RPC struct {
 	Effect, Group string
 	inFlight      int
@@ -86,9 +86,10 @@
 // RPCOpened records a new RPC of a function.
 func (d *LoadDemand[Order]) RPCOpened(fn router.FunctionID) { d.openRPCs[fn]++ }
 
-// RPCClosed records that an RPC is no longer open. ClientLeft: its client left or cancelled, and the load orders of the
-// function are no longer needed if no other RPC of it is open. Orders of an answered RPC stay, since they may serve the
-// next one. RPCClosed returns the orders that are no longer needed, in the order in which they were sent.
+// RPCClosed records that an RPC is no longer open. clientLeft says that its client left or cancelled: the load orders
+// of the function are then no longer needed, unless another RPC of it is open. Orders of an answered RPC stay, since
+// they may serve the next one. RPCClosed returns the orders that are no longer needed, in the order in which they were
+// sent.
 func (d *LoadDemand[Order]) RPCClosed(fn router.FunctionID, clientLeft bool) []Order {
 	if d.openRPCs[fn]--; d.openRPCs[fn] > 0 {
 		return nil
--- a/internal/dedup/dedup.go
+++ b/internal/dedup/dedup.go
@@ -91,7 +91,7 @@
 	return waiters
 }
 
-// finish ends the tracking of the RPC.
+// finish ends the tracking of the RPC. Further calls have no effect.
 func (s *SharedRPC[Waiter]) finish() {
 	if !s.finished {
 		s.finished = true
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -48,8 +48,9 @@
 //	X nothing MS              X receives nothing for MS ms, pings ignored
 //	X closes|half-closes|ends X closes; closes its sending side; receives the end of the stream
 //	W stops                   the worker closes its connections and its socket
-//	config ok XML             submits a configuration, which must be accepted; the control service is started if needed.
-//	                          XML: the service's elements, then after '|' the others; $DIR: the test's folder
+//	config ok XML             submits a configuration to the control service, which is started if needed and numbers the
+//	                          configuration; it must be accepted. XML: the service's elements, then after '|' the
+//	                          others; $DIR: the test's folder
 //	config no TEXT XML        submits a configuration, which must be refused for a reason that contains TEXT
 //	control up|down           starts or stops the control service
 //	cut-file|flip-file|full-file NAME   cuts the file to half, changes a bit of it, or makes writing it impossible
--- a/internal/jsonrpc/conn.go
+++ b/internal/jsonrpc/conn.go
@@ -150,8 +150,8 @@
 	return err
 }
 
-// CallAsync sends a request and returns. onResponse is called when the call ends, on Run's goroutine or, if the
-// connection has ended, on this one.
+// CallAsync sends a request and returns. onResponse is called once, or for each response if Streaming is set, on Run's
+// goroutine or, if the connection has ended, on this one.
 func (c *Caller) CallAsync(method string, params []byte, onResponse func(Response)) {
 	c.mu.Lock()
 	if c.ended {
--- a/internal/rosterwatch/watcher.go
+++ b/internal/rosterwatch/watcher.go
@@ -270,7 +270,8 @@
 	return handler.listReceived, handler.err
 }
 
-// acknowledge sends the roster the versions that have been applied.
+// acknowledge sends the roster each version that has been applied. Of several, the last one would be enough, because
+// versions are applied in order.
 func acknowledge(nc net.Conn, versions <-chan uint64) {
 	for version := range versions {
 		params := append(strconv.AppendUint([]byte(`{"version":`), version, 10), '}')
--- a/internal/settings/configuration.go
+++ b/internal/settings/configuration.go
@@ -53,7 +53,7 @@
 	Socket string `a:"socket" need:"yes"`
 }
 
-// Source is the socket of a roster. A front end follows the first roster that responds.
+// Source is the socket of a roster. A front end watches the first roster that accepts its connection.
 type Source struct {
 	Pos
 	Name   string `a:"name" need:"yes"`
--- a/internal/settings/scenario.go
+++ b/internal/settings/scenario.go
@@ -77,7 +77,7 @@
 	Process string      `a:"process" def:"poisson" words:"poisson steady bursty diurnal trace"`
 	Period  router.Time `a:"period-ms" def:"10000" min:"10" max:"86400000"` // of bursts, or of the diurnal cycle
 	Depth   float64     `a:"depth" def:"0.5" min:"0" max:"1"`               // amplitude of the rate, relative to its mean
-	Trace   string      `a:"trace"`                                         // file with lines MS METHOD FUNCTION [CUSTOMER]
+	Trace   string      `a:"trace"`                                         // file of lines MS METHOD FUNCTION [CUSTOMER]
 	Mix     []Mix       `e:"mix" need:"yes"`
 
 	TraceEvents []TraceEvent // content of the trace file, in order
@@ -135,13 +135,15 @@
 // Callers describes how clients behave.
 type Callers struct {
 	Pos
-	Connections    int         `a:"connections" def:"4" min:"1" max:"10000"`
-	Retries        int         `a:"retries" def:"2" min:"0" max:"20"`
-	TryShare       float64     `a:"try-share" def:"0.7" min:"0.05" max:"1"`
-	Backoff        router.Time `a:"back-off-ms" def:"50" min:"0" max:"60000"`
-	HeedShare      float64     `a:"heed" def:"0.8" min:"0" max:"1"`           // of retries that wait as long as the answer asks
-	ImpatientShare float64     `a:"impatient" def:"0" min:"0" max:"1"`        // of RPCs whose client leaves before the answer
-	Notice         router.Time `a:"notice-ms" def:"1000" min:"0" max:"60000"` // until clients avoid a front end that is down
+	Connections int         `a:"connections" def:"4" min:"1" max:"10000"`
+	Retries     int         `a:"retries" def:"2" min:"0" max:"20"`
+	TryShare    float64     `a:"try-share" def:"0.7" min:"0.05" max:"1"`
+	Backoff     router.Time `a:"back-off-ms" def:"50" min:"0" max:"60000"`
+	// HeedShare is the share of retries that wait as long as the answer asks, ImpatientShare the share of RPCs whose
+	// client leaves before the answer, and Notice the time until clients avoid a front end that is down.
+	HeedShare      float64     `a:"heed" def:"0.8" min:"0" max:"1"`
+	ImpatientShare float64     `a:"impatient" def:"0" min:"0" max:"1"`
+	Notice         router.Time `a:"notice-ms" def:"1000" min:"0" max:"60000"`
 }
 
 // Trouble is a fault that is injected at a given time.
--- a/internal/workerlink/link.go
+++ b/internal/workerlink/link.go
@@ -42,14 +42,17 @@
 
 // Options configure all links of a front end.
 type Options struct {
-	FrontEnd       string
-	ConnectTimeout time.Duration                                  // for the connection and the worker's client.ready
-	ValueBytes     int                                            // maximum size of one JSON value from a worker
-	QueuedBytes    int                                            // unsent bytes of a link above which new requests fail
-	RedialMin      time.Duration                                  // first pause before reconnecting; it doubles
-	RedialMax      time.Duration                                  // longest pause
-	WrapLink       func(worker string, l engine.Link) engine.Link // replaces the link given to the engine; nil: no change
-	Log            zerolog.Logger
+	FrontEnd string
+	// ConnectTimeout bounds connecting to a worker, then the wait for its client.ready, and the time for which a request
+	// is queued without a ready worker. A worker that exceeds it counts as unreachable.
+	ConnectTimeout time.Duration
+	ValueBytes     int // maximum size of one JSON value from a worker
+	// QueuedBytes bounds the unsent bytes for a worker that reads slowly. Above it, new requests end as router.Full.
+	QueuedBytes int
+	RedialMin   time.Duration                                  // first pause before reconnecting; it doubles
+	RedialMax   time.Duration                                  // longest pause
+	WrapLink    func(worker string, l engine.Link) engine.Link // replaces the link given to the engine; nil: no change
+	Log         zerolog.Logger
 }
 
 // Set is the set of a front end's links. Its methods, except Wait, must be called in a turn of the event loop.
