--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -22,8 +22,8 @@
 type Limits struct {
 	Methods          map[string]Method
 	Slack            float64 // what scheduling and sockets of one machine may add to any time
-	DrainGrace       float64 // a front end may still send RPCs to a worker for so long after it was notified
-	OverloadMultiple float64 // of its capacity, that a cold worker may be sent within OverloadWindow
+	DrainGrace       float64 // how long a front end may use a worker after it was notified of its drain or removal
+	OverloadMultiple float64 // work that a cold worker may be sent in OverloadWindow, as a multiple of its capacity
 	OverloadWindow   float64
 	Cold             float64
 	LoadWindow       float64 // 0: loads are not rationed
@@ -292,7 +292,7 @@
 
 // checkColdWorkers checks rule four: the work that all front ends send a cold worker within a window stays under a
 // multiple of what it can do. Exceeding that is a violation only if at least two thirds of the work came from front
-// ends that were notified of the worker's start.
+// ends that were notified of the worker's start. A worker's failure from overload is a violation in any case.
 func (a *auditor) checkColdWorkers() {
 	type workSample struct {
 		t        int64
--- a/internal/configclient/client.go
+++ b/internal/configclient/client.go
@@ -23,7 +23,7 @@
 	"mallowlanding/internal/settings"
 )
 
-// maxMessageBytes bounds a response of the service.
+// maxMessageBytes is the maximum size of a response of the service, in bytes.
 const maxMessageBytes = 64 << 20
 
 // keepaliveInterval is how long a connection may be idle before it is checked by a keepalive ping.
@@ -310,7 +310,7 @@
 	resources := configdiff.Patch(base, set, removed)
 	text := settings.ResourcesText(resources)
 	o.DigestOK = configdiff.Digest(text) == resp.Digest
-	// a version that is being applied is not replaced
+	// an offer whose change is prepared is not replaced, since Apply may be running
 	if previous := c.offers[o.Version]; previous == nil || previous.change == nil {
 		c.offers[o.Version] = &offer{resources: resources, text: text}
 	}
--- a/internal/configupdate/follower.go
+++ b/internal/configupdate/follower.go
@@ -33,7 +33,8 @@
 	Apply(v Version)
 	// Save writes the version to disk as the last good one.
 	Save(v Version)
-	// Accept acknowledges a response to the service, together with the version in force.
+	// Accept acknowledges a response to the service, together with the version in force; saved: that version is on
+	// disk as the last good one.
 	Accept(nonce string, saved bool)
 	// Refuse refuses a response, likewise with the version in force.
 	Refuse(nonce string, v Version, reason string)
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -88,7 +88,9 @@
 		if err == nil {
 			return resp.Version, nil
 		}
-		if status.Code(err) != codes.FailedPrecondition { // only a FailedPrecondition proves that it was not numbered
+		// FailedPrecondition proves that the instance did not lead and has not numbered the configuration: only then
+		// can it be submitted again without being numbered twice.
+		if status.Code(err) != codes.FailedPrecondition {
 			return 0, errors.New(status.Convert(err).Message())
 		}
 	}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -39,11 +39,11 @@
 	tickInterval        = 50 * time.Millisecond  // between ticks of a rollout
 	applyTimeout        = 5 * time.Second        // bounds the wait until Raft starts a proposal
 	dialTimeout         = time.Second            // for a connection between instances
-	leaderCheckInterval = 100 * time.Millisecond // how often a stream checks that its instance is still the leader
+	leaderCheckInterval = 100 * time.Millisecond // a stream ends within this time after its instance has lost the lead
 	retainedSnapshots   = 2                      // on disk
 	snapshotThreshold   = 4096                   // log entries between snapshots
 	maxCachedVersions   = 16                     // versions whose parsed resources are cached
-	maxMessageBytes     = 64 << 20               // bytes of one gRPC message
+	maxMessageBytes     = 64 << 20               // bytes of one gRPC message, thus of one configuration
 )
 
 // Network connects to the peer socket of another instance. Tests inject one that can be partitioned.
--- a/internal/kserve/http.go
+++ b/internal/kserve/http.go
@@ -107,7 +107,7 @@
 	return s
 }
 
-// UpdateSettings replaces the models; requests received before keep the model they were received for.
+// UpdateSettings replaces the models. An infer request that was received before keeps its former model.
 func (s *Server) UpdateSettings(models []Model) {
 	byName := map[string][]*Model{}
 	for i := range models {
@@ -208,8 +208,8 @@
 	writeResponse(w, status, append(jsonrpc.AppendString([]byte(`{"error":`), message), '}'))
 }
 
-// isReady reports, from a turn of the event loop, whether the server is ready and, unless m is nil, whether loads of
-// the model m are not halted.
+// isReady asks the event loop whether the server is ready and, unless m is nil, whether the model m is ready: its loads
+// are not halted, or a copy of it is loaded.
 func (s *Server) isReady(m *Model) bool {
 	ready := make(chan bool, 1)
 	if !s.loop.Post(func() {
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -33,7 +33,7 @@
 	ClientLeft     = "quit"     // the client left
 	ConnectionLost = "lost"     // the connection ended before the answer came
 	ProcessPaused  = "stopped"  // a front end's process was suspended
-	ProcessResumed = "resumed"  // it continued
+	ProcessResumed = "resumed"  // a suspended front end's process continued
 	ProcessEnded   = "killed"   // a front end's process was killed or has exited
 	ProcessStarted = "restarts" // a front end's process started
 )
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -34,7 +34,7 @@
 type Settings struct {
 	Stages          []float64 `json:"stages"`     // shares of the live followers, ascending, the last is 1
 	Hold            Millis    `json:"hold"`       // minimum duration of a stage once all its followers have answered
-	AnswerTimeout   Millis    `json:"patience"`   // a live follower that exceeds it stops the rollout
+	AnswerTimeout   Millis    `json:"patience"`   // a chosen live follower without an answer by then stops the rollout
 	LiveTimeout     Millis    `json:"live"`       // a follower that sends no report for this long counts as away
 	MaxRefusedShare float64   `json:"refused"`    // share of the chosen followers that may refuse a version
 	MaxOKDrop       float64   `json:"worse"`      // tolerated drop of the ok share, less that of the other followers
@@ -99,14 +99,15 @@
 	Followers       map[string]*follower `json:"followers"`
 }
 
-// Older versions and followers that are away for longer are deleted.
+// maxEntries is how many of the newest versions are kept; older ones are deleted, except the stable version and the
+// candidate. A follower that sends no report for forgetAfter (in ms) is deleted.
 const (
-	maxEntries  = 1000 // versions
+	maxEntries  = 1000
 	forgetAfter = Millis(24 * 60 * 60 * 1000)
 )
 
-// maxTexts is how many of the newest versions keep their text. Operators look only at recent versions and roll back
-// only to them.
+// maxTexts is how many of the newest versions keep their text, besides the stable version and the candidate. Operators
+// look only at recent versions and roll back only to them.
 const maxTexts = 100
 
 // New returns a state without versions and followers.
@@ -421,8 +422,8 @@
 	return ""
 }
 
-// endRollout ends the candidate's rollout. If a withdrawn candidate may be in force at any follower, the stable version
-// follows under a new number, which takes its place.
+// endRollout ends the candidate's rollout. If a withdrawn candidate may be in force at any follower, the text of the
+// stable version gets a new number above the candidate's and becomes the stable version under that number.
 func (s *State) endRollout(now Millis, state, reason string) {
 	e := s.Entries[s.Candidate]
 	e.State, e.Reason = state, reason
--- a/internal/standin/roster.go
+++ b/internal/standin/roster.go
@@ -272,9 +272,9 @@
 	})
 }
 
-// Fetch simulates the fetch of a function, and calls done when it has ended or is refused. A fetch takes its usual time
-// at least. While there are more fetches than the at-once setting, they share the store's speed, and the thrash setting
-// slows them further the more there are.
+// Fetch simulates the fetch of a function, and calls done when it has ended or is refused. A fetch takes at least its
+// usual time or the store's mean, whichever is longer. While there are more fetches than the at-once setting, they
+// share the store's speed, and the thrash setting slows them further the more there are.
 func (s *StoreModel) Fetch(now, usual router.Time, done func(ok bool)) {
 	if s.active >= s.cfg.RefuseFrom {
 		done(false)
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -65,9 +65,9 @@
 // NextDue implements eventloop.Handler.
 func (w *worker) NextDue() (router.Time, bool) { return w.timers.NextDue() }
 
-// Worker runs a stand-in worker until the context ends. It then notifies the roster that it drains, refuses new RPCs,
-// and returns after the drain time, once its RPCs have ended or after as long again. A fault that kills it makes it
-// return an error.
+// Worker runs a stand-in worker until the context ends. It then notifies the roster that it drains, and refuses new
+// RPCs and loads. It returns once the drain time is over and its RPCs have ended, at the latest after twice the drain
+// time. A fault that kills it makes it return an error.
 func Worker(ctx context.Context, cfg *settings.Worker, drain time.Duration, log zerolog.Logger, ready func()) error {
 	records, err := record.Open(cfg.Log)
 	if err != nil {
--- a/internal/tensor/tensor.go
+++ b/internal/tensor/tensor.go
@@ -13,7 +13,7 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// elementSizes holds the bytes of one element of each datatype; 0 stands for a variable length.
+// elementSizes has the size in bytes of an element of each datatype; 0 stands for a variable length.
 var elementSizes = map[string]int{"BOOL": 1, "UINT8": 1, "UINT16": 2, "UINT32": 4, "UINT64": 8, "INT8": 1, "INT16": 2,
 	"INT32": 4, "INT64": 8, "FP16": 2, "FP32": 4, "FP64": 8, "BYTES": 0}
 
