--- a/cmd/mallowlanding/discovery_outage_test.go
+++ b/cmd/mallowlanding/discovery_outage_test.go
@@ -7,6 +7,10 @@
 // outage, and after its grace, until the worker list was confirmed again. The workers refused the messages, and other
 // workers served the RPCs.
 //
+// It comes about in this order: the service becomes unreachable, a busy worker begins to drain, 7 s of the outage and
+// the grace pass, and messages to the worker go on until the list is confirmed again. However the service fails, the
+// violations begin at the end of the grace, and nothing else changes at that time.
+//
 // Cause: the router did not know when the worker list had last been confirmed, so a worker stayed "ready" for longer
 // than the list could vouch for it. Every kind of outage below broke the rule on draining in the same way. A change
 // to the choice of the least-loaded worker, so that workers that refuse are not preferred, reduced the number of
@@ -216,7 +220,7 @@
 			f.endSilence()
 		}
 	})
-	for worker := range outageWorkers - 3 { // the last three workers do not drain
+	for worker := range outageWorkers - 3 { // the last three workers do not drain, so that RPCs can be served
 		drainAt, drainLength, downtime, stops := randomDuration(0, randomLength-time.Second), randomDuration(time.Second, 6*time.Second), randomDuration(200*time.Millisecond, 2*time.Second), randomBool(0.6)
 		steps.Go(func() {
 			sleepUntil(drainAt)
--- a/cmd/mallowlanding/main.go
+++ b/cmd/mallowlanding/main.go
@@ -134,7 +134,9 @@
 func (c *platformCmd) Run(e *runEnv) error {
 	reload, ignored := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
-	signal.Notify(ignored, syscall.SIGTERM) // a second SIGTERM does not keep it from answering its open RPCs
+	// The function run stops catching SIGTERM after the first one. This registration stays, so that a second SIGTERM
+	// does not end the process before it has answered its open RPCs.
+	signal.Notify(ignored, syscall.SIGTERM)
 	err := platform.Serve(e.ctx, os.Getenv("BALANCER_CONFIG"), reload, e.log)
 	if errors.As(err, &platform.ConfigError{}) {
 		return usageError{err}
--- a/cmd/mallowlanding/outage_verify_test.go
+++ b/cmd/mallowlanding/outage_verify_test.go
@@ -41,8 +41,8 @@
 
 func (f *outageFleet) endSilence() { f.silences[len(f.silences)-1].until = time.Now() }
 
-// verify fails the test if messages reached a draining worker past its grace, or if too few RPCs were served once
-// drains counted as reported.
+// verify fails the test if calls or load orders reached a draining worker past its grace, or if too few RPCs were
+// served or too many checks sent once drains counted as reported.
 func (f *outageFleet) verify(began, reportedBy time.Time) {
 	f.t.Helper()
 	f.mu.Lock()
--- a/cmd/mallowlanding/platform_test.go
+++ b/cmd/mallowlanding/platform_test.go
@@ -65,8 +65,8 @@
 
 var loopbackCount atomic.Uint32
 
-// loopbackAddress returns a loopback address that no other test uses, with port 0. A port that a test frees and listens
-// on again later is not taken in between.
+// loopbackAddress returns a loopback address that no other test uses, with port 0. As no other test uses the address, a
+// port that a test frees and listens on again later is not taken in between.
 func loopbackAddress() string {
 	n := loopbackCount.Add(1)
 	return fmt.Sprintf("127.1.%d.%d:0", n/250, n%250+1)
@@ -152,7 +152,7 @@
 func TestPlatformSecondTermSignal(t *testing.T) {
 	arrived, release := make(chan bool, 1), make(chan bool)
 	worker := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, in *http.Request) {
-		if in.URL.Path == "/-/gauges" { // the check before the first call, as discovery is unreachable
+		if in.URL.Path == "/-/gauges" { // a check, which precedes the first call as discovery is unreachable
 			return
 		}
 		arrived <- true
--- a/internal/emulate/roll_test.go
+++ b/internal/emulate/roll_test.go
@@ -3,8 +3,8 @@
 import "testing"
 
 // TestRollServesEachMethod guards against front ends that deny RPCs after they start beside a warm fleet. It restarts
-// fifty front ends, each with little load, in steps while workers are replaced. Each method must keep its share of
-// gain.
+// fifty front ends, each with little load, in steps while workers are replaced. Each method must keep the
+// share of its gain that minServed sets.
 func TestRollServesEachMethod(t *testing.T) {
 	minServed := map[string]float64{"plan": 0.9, "ring": 0.9, "store": 0.9}
 	r := run(t, read(t, "testdata/roll.xml"))
--- a/internal/emulate/trouble.go
+++ b/internal/emulate/trouble.go
@@ -67,8 +67,8 @@
 	return out
 }
 
-// startTrouble injects a trouble: a kind that rehearsals have in the same way as they do, or one that sockets on one
-// machine can't produce.
+// startTrouble injects a trouble. Kinds that rehearsals have, too, take the same course as there; the others are those
+// that sockets on one machine can't produce.
 func (w *world) startTrouble(t settings.Trouble, rng *rand.Rand) {
 	each := func(workers []*worker, do func(m *standin.Model)) {
 		for _, x := range workers {
--- a/internal/emulate/world.go
+++ b/internal/emulate/world.go
@@ -32,7 +32,7 @@
 // tenths of a millisecond.
 const settleTime = 5000
 
-// contextCheckInterval is the number of events between two checks of the context.
+// contextCheckInterval is the number of moments with events between two checks of the context.
 const contextCheckInterval = 1 << 14
 
 // world is the state of one emulated scenario.
--- a/internal/scenariosearch/search.go
+++ b/internal/scenariosearch/search.go
@@ -18,7 +18,8 @@
 	"mallowlanding/router"
 )
 
-// minScoreShare is the share of the worst score that a reduced scenario must still reach.
+// minScoreShare is the share of the worst score that a reduced scenario must still reach. If the worst scenario breaks
+// a rule, the reduced one must break a rule instead.
 const minScoreShare = 0.8
 
 // breakScore is added to the score of a scenario with a broken rule; it exceeds any loss of gain.
