--- a/internal/jsonrpc/codec.go
+++ b/internal/jsonrpc/codec.go
@@ -42,10 +42,10 @@
 // IgnoreBatches can be embedded by handlers that treat the messages of a batch like single ones.
 type IgnoreBatches struct{}
 
-// BeginBatch implements Handler.
+// BeginBatch implements Handler for the types that embed IgnoreBatches.
 func (IgnoreBatches) BeginBatch() {}
 
-// EndBatch implements Handler.
+// EndBatch implements Handler for the types that embed IgnoreBatches.
 func (IgnoreBatches) EndBatch() {}
 
 // Decoder decodes messages. It reuses its buffers and must not be used by several goroutines at once.
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -314,8 +314,8 @@
 }
 
 // ChooseFrontEnd stands in for a load balancer before the front ends: it chooses one at random and leaves out those
-// that are down for noticeAfter or longer, unless all are. DeadFor returns how long front end i is down, or a negative
-// duration if it is up.
+// that are down for noticeAfter or longer, unless all are. The callback deadFor returns how long front end i is down,
+// or a negative duration if it is up.
 func ChooseFrontEnd(rng *rand.Rand, n int, deadFor func(i int) time.Duration, noticeAfter time.Duration) int {
 	var alive []int
 	for i := range n {
--- a/internal/standin/roster.go
+++ b/internal/standin/roster.go
@@ -97,7 +97,7 @@
 	workers  []string // that joined on this connection
 }
 
-// HandleRequest implements jsonrpc.Peer.
+// HandleRequest implements jsonrpc.Handler.
 func (c *rosterConn) HandleRequest(_ jsonrpc.ID, method string, params []byte) {
 	params = bytes.Clone(params)
 	switch method {
@@ -247,7 +247,7 @@
 	s *store
 }
 
-// HandleRequest implements jsonrpc.Peer.
+// HandleRequest implements jsonrpc.Handler.
 func (c *storeConn) HandleRequest(id jsonrpc.ID, method string, params []byte) {
 	requestID := bytes.Clone(id)
 	usual, _ := jsonrpc.ParseNumber(jsontext.Value(jsonrpc.Member(params, "usual_ms")))
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -224,12 +224,12 @@
 	conn *jsonrpc.Conn
 }
 
-// HandleInvalid implements jsonrpc.Peer.
+// HandleInvalid implements jsonrpc.Handler for the types that embed requestHandler.
 func (s *requestHandler) HandleInvalid(id jsonrpc.ID, code int, message string) {
 	s.conn.Write(jsonrpc.AppendError(nil, id, code, message, nil))
 }
 
-// HandleResponse implements jsonrpc.Peer.
+// HandleResponse implements jsonrpc.Handler for the types that embed requestHandler.
 func (s *requestHandler) HandleResponse(jsonrpc.ID, []byte, int, string, []byte) {}
 
 // frontEndConn is the connection of a front end.
@@ -260,7 +260,7 @@
 	w.mu.Unlock()
 }
 
-// HandleRequest implements jsonrpc.Peer.
+// HandleRequest implements jsonrpc.Handler.
 func (h *frontEndConn) HandleRequest(id jsonrpc.ID, method string, params []byte) {
 	var blob []byte
 	if text, ok := jsonrpc.ParseString(jsonrpc.Member(params, "blob")); ok {
@@ -273,7 +273,7 @@
 	h.HandleRequestBlob(id, method, params, blob)
 }
 
-// HandleResponseBlob implements frames.Peer.
+// HandleResponseBlob implements frames.Handler.
 func (h *frontEndConn) HandleResponseBlob([]byte, []byte, int, string, []byte, []byte) {}
 
 // respondResult sends a result in the codec agreed on.
@@ -297,7 +297,7 @@
 	h.conn.Write(jsonrpc.AppendError(nil, id, code, message, data))
 }
 
-// HandleRequestBlob implements frames.Peer.
+// HandleRequestBlob implements frames.Handler.
 func (h *frontEndConn) HandleRequestBlob(id []byte, method string, params, blob []byte) {
 	if method == "host.batch" {
 		h.batch(params, blob)
@@ -546,7 +546,7 @@
 	w *worker
 }
 
-// HandleRequest implements jsonrpc.Peer.
+// HandleRequest implements jsonrpc.Handler.
 func (c *controlConn) HandleRequest(id jsonrpc.ID, method string, params []byte) {
 	w, requestID := c.w, bytes.Clone(id)
 	number := func(name string) float64 {
--- a/router/loads.go
+++ b/router/loads.go
@@ -142,8 +142,9 @@
 	return window == 0 || float64(len(r.recentOrders)+1) <= ration
 }
 
-// loadEnded updates the records after a load, or after an answer from a warm copy. IncludedLoad: a load took place and
-// lasted for took; startedLoad: it was started for this front end, and did not find or join another one's.
+// loadEnded updates the records after a load, or after an answer from a warm copy. The parameter includedLoad tells
+// whether a load took place, which then lasted for took; startedLoad tells whether it was started for this front end,
+// and did not find or join another one's.
 func (r *Router) loadEnded(fn *function, cs *copySet, includedLoad, startedLoad bool, took float64) {
 	if cs.loading {
 		cs.loading, cs.stateSince = false, r.now
